--- a/src/decide/answer_pace.hpp
+++ b/src/decide/answer_pace.hpp
@@ -7,41 +7,43 @@
 
 namespace boragehill::decide {
 
-/// How long the answers of a service may take, by the slowest of late.
+/// Estimates how long the responses of a service may take, from the slowest
+/// recent ones.
 ///
-/// Workers slow down as they fill, so a time for each token that holds at one
-/// load cuts answers off at another.
+/// Workers slow down as they fill, so a fixed time per token that holds at one
+/// load would cut responses off at another.
 class answer_pace {
  public:
-  /// The time to a generation's first token, and the whole time of a plain
+  /// Time to the first token of a generation, or the whole time of a plain
   /// call.
   static constexpr milliseconds start_needs{1000};
 
-  /// A whole answer was passed on.
-  /// \param most_tokens The most that it might have had.
-  /// \param streamed From its first byte to its end.
+  /// Records a response that was forwarded completely.
+  /// \param most_tokens The maximum number of tokens that was requested.
+  /// \param streamed Time from its first byte to its end.
   void on_answer(int most_tokens, milliseconds streamed, time_point now);
 
-  /// \return The time from the send to the end of an answer of so many tokens;
-  ///     with 0, of a plain call.
+  /// \param tokens Length of the response; 0 for a plain call.
+  /// \return Upper estimate of the time from sending the request to the end of
+  ///     the response.
   milliseconds most_time(int tokens, time_point now) const;
 
  private:
-  /// Milliseconds a token.
   using pace = double;
 
-  /// Default and lower bound.
+  /// Initial value and lower bound of the estimate.
   static constexpr pace usual = 9;
-  /// A shorter answer counts like one of so many tokens: a stall of its server
-  /// says little of long ones.
+  /// Shorter responses are counted as having this many tokens: a server stall
+  /// during a short response says little about long ones.
   static constexpr int fewest_tokens = 30;
-  /// Longer times overflow clocks.
+  /// Longer times would overflow clock arithmetic.
   static constexpr milliseconds longest{3600000};
-  /// Workers may fill further while an answer is made.
+  /// Workers may fill up further while a response is generated.
   static constexpr double headroom = 1.5;
-  /// A slow answer is remembered for one to two of these.
+  /// A slow response counts for the current and the next window.
   static constexpr milliseconds window{10000};
 
+  /// Starts a new window if the current one is over.
   void turn(time_point now);
 
   std::optional<time_point> began;
--- a/src/decide/answer_pulse.cpp
+++ b/src/decide/answer_pulse.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// The least pause between two pieces that may mean something. While a long
-/// prompt is read each step takes 70 ms, and an event holds the tokens of some
-/// steps: one stream may show nothing for some of them, several show one at
-/// each step, as each is at another token of its event. A router that has used
-/// up its share of a processor stands still for 80 ms.
+/// Lower bound of the stall timeout between two pieces of data. While a long
+/// prompt is processed each step takes 70 ms, and an event holds the tokens of
+/// several steps. A single stream may therefore have no event for several
+/// steps, while several streams are at different tokens of their events and
+/// have one at each step. A router that has used up its CPU quota pauses for
+/// 80 ms.
 constexpr milliseconds least_pause{90};
 constexpr milliseconds pause_of_one{150};
-/// The least wait for a first piece that may mean something: some round trips
+/// Lower bound of the stall timeout before the first byte: some round trips
 /// and a short queue.
 constexpr milliseconds least_first{250};
-/// Far above what reading a prompt token takes (0.03 ms).
+/// Far above the 0.03 ms that a worker needs to process a prompt token.
 constexpr double ms_per_token = 0.1;
-/// However long answers take here, callers leave after two seconds.
+/// Upper bound, however slow the server usually is: callers give up after 2 s.
 constexpr milliseconds most_bearable{1000};
 
 }  // namespace
@@ -42,7 +43,7 @@
   const auto pause =
       std::chrono::duration_cast<milliseconds>(now - this->silent_since());
   this->heard = now;
-  // A silence that is over is no measure of the usual pause.
+  // A stall that has ended must not raise the estimate of the usual gap.
   if (pause <= most_bearable) this->pauses.add(pause);
 }
 
--- a/src/decide/answer_pulse.hpp
+++ b/src/decide/answer_pulse.hpp
@@ -9,66 +9,71 @@
 
 namespace boragehill::decide {
 
-/// What comes of the requests that a router has at one backend server: whether
-/// its answers move, or have stood still for longer than they ever do.
+/// Tracks the progress of a router's responses from one backend server and
+/// tells when they have stalled for longer than usual.
 ///
-/// The load it answers: a server's machine stands still for seconds with
-/// answers under way. Nothing fails, so the router went on sending there for
-/// as long as the platform listed it; each caller waited out its patience, and
-/// the server ran the requests for nobody when it woke.
+/// If a server's machine freezes for seconds, no connection fails. Without
+/// this check the router kept sending to it for as long as the platform listed
+/// it, each caller ran into its timeout, and the resumed server ran the
+/// requests for nobody.
 ///
-/// One silent answer among others that move is no silence of the server. Where
-/// answers have begun, only the pause between any two pieces counts: a long
-/// prompt is read in parts, between which the others move. Where none has, it
-/// is the time to the first piece, with the time to read the prompts on top.
+/// One response without data is no stall while others progress. Once responses
+/// have started, only the gap between any two pieces of data counts, because a
+/// long prompt is processed in chunks between which other streams continue.
+/// Before that, the time to the first byte counts, plus the time to process
+/// the prompts.
 class answer_pulse {
  public:
-  /// A request was sent.
-  /// \param tokens Of its prompt; 0 if it has none.
+  /// Records that a request was sent.
+  /// \param tokens Number of tokens of its prompt; 0 if it has none.
   void on_sent(int tokens, time_point now);
 
-  /// The first bytes of a request's answer came.
+  /// Records the first bytes of a request's response.
+  /// \param tokens As given to `on_sent`.
   void on_begun(int tokens, time_point now);
 
-  /// More bytes of any answer came.
+  /// Records further bytes of any response.
   void on_heard(time_point now);
 
-  /// A request whose answer had begun is not waited for any more.
+  /// Stops tracking a request whose response has started.
   void on_begun_left();
 
-  /// A request without an answer is not waited for any more.
+  /// Stops tracking a request whose response has not started.
+  /// \param tokens As given to `on_sent`.
   void on_unbegun_left(int tokens);
 
-  /// The caller of an answer that has begun doesn't take more of it, so that
-  /// it isn't read.
+  /// Records that a started response is not being read from the server because
+  /// its caller applies back-pressure.
   void on_held_up() { ++this->held_up; }
-  /// \param now It is read again from now on.
+  /// Records that such a response is read again.
   void on_resumed(time_point now);
 
-  /// The router itself stood still: nothing could be heard meanwhile.
+  /// Excludes a pause of the router itself, in which it could not read.
+  /// \param until End of the pause.
   void excuse(time_point until) { this->listened_since = until; }
 
-  /// \return True if nothing has come for longer than this server's answers
-  ///     ever take.
+  /// \return True if responses are pending and no data has arrived for longer
+  ///     than is usual for this server.
   bool overdue(time_point now) const;
 
-  /// \return When something came last. What the router or a caller did is no
-  ///     sign of the server.
+  /// \return Time of the last data from the server, whatever the router or a
+  ///     caller did since.
   time_point last_heard() const { return this->heard; }
 
-  /// \return Since when nothing has come that could have.
+  /// \return Start of the current wait for data: the last data, or the time
+  ///     since which data could be read at all.
   time_point silent_since() const {
     return std::max(this->heard, this->listened_since);
   }
 
-  /// \return Prompt tokens of the requests that have no answer yet.
+  /// \return Prompt tokens of the requests whose responses have not started.
   int tokens_unread() const { return this->unread_tokens; }
 
-  /// \return Requests whose answers are waited for.
+  /// \return Number of requests for which data is expected from the server.
   int awaited() const { return this->begun - this->held_up + this->unbegun; }
 
  private:
-  /// \return How long nothing may come.
+  /// \return Time without data after which the responses count as stalled.
   milliseconds bearable() const;
 
   int begun = 0;
@@ -76,7 +81,8 @@
   int held_up = 0;
   int unread_tokens = 0;
   time_point heard;
-  /// Nothing could be heard before: nothing was under way, or nobody read.
+  /// No data could be read before this time: no request was in flight, or
+  /// reading was paused.
   time_point listened_since;
   spread_estimate pauses;
   spread_estimate first_pieces;
--- a/src/decide/answer_size.hpp
+++ b/src/decide/answer_size.hpp
@@ -5,16 +5,17 @@
 
 namespace boragehill::decide {
 
-/// How many tokens an answer may have; none for plain services.
+/// Expected size of a response in tokens; 0 for plain services.
 struct answer_size {
   int most = 0;
-  /// The caller's estimate, if it gives one.
+  /// The caller's estimate of the size, if it sent one.
   std::optional<int> hint;
 
   bool operator==(const answer_size&) const = default;
 
-  /// \return The tokens to reckon with where the answer must not be cut off: a
-  ///     multiple of the estimate, which is accurate only at the median.
+  /// \return A size that the response is unlikely to exceed, for decisions
+  ///     where it must not be cut off: a multiple of the hint, which is
+  ///     accurate only at the median, up to the maximum.
   int safe_tokens() const {
     constexpr int hint_margin = 6;
     if (!this->hint || *this->hint >= this->most / hint_margin) {
--- a/src/decide/ask_again.cpp
+++ b/src/decide/ask_again.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// \return From half of the longest pause to all of it, so that processes that
-///     lost the store together don't come back together.
+/// \return Random delay between half of the longest one and all of it, so that
+///     processes that lost the store at the same time don't retry at the same
+///     time.
 milliseconds spread(milliseconds longest, std::uint64_t random_bits) {
   const auto half = longest / 2;
   const auto choices = static_cast<std::uint64_t>(half.count()) + 1;
--- a/src/decide/ask_again.hpp
+++ b/src/decide/ask_again.hpp
@@ -9,39 +9,38 @@
 
 namespace boragehill::decide {
 
-/// Decides when a question that has no answer yet is asked again, beside the
-/// attempts that are still under way.
+/// Schedules hedged copies of a store request that has no response yet, while
+/// earlier attempts are still in flight.
 ///
-/// A store that falls silent takes calls and never answers them, while others
-/// are answered as soon as it is back. Waiting for one attempt to run out
-/// before the next goes out makes its limit the time for which the store's
-/// return goes unnoticed: 3 s, with a change that had to be in force after 2 s.
-/// A shorter limit would never hear a store that is slow. So attempts overlap:
-/// the time to notice is the time between two of them, and each may take its
-/// time.
+/// A store that stalls accepts calls and never answers them, but answers new
+/// ones as soon as it has recovered. With one attempt at a time, its recovery
+/// goes unnoticed until the attempt times out: 3 s, while a change had to be in
+/// force after 2 s. A shorter timeout would never get a response from a slow
+/// store. So attempts overlap: recovery is noticed within the interval between
+/// two of them, and each keeps a long timeout.
 class ask_again {
  public:
   explicit ask_again(const ask_again_settings& settings) : settings(settings) {}
 
-  /// A new question goes out.
-  /// \param wait How long the store may hold it.
+  /// Starts the schedule of a new request.
+  /// \param wait How long the store may hold the request (long poll).
   void begin(time_point now, milliseconds wait);
 
-  /// One more attempt goes out, at the time that `next` told.
+  /// Records a hedged copy, sent at the time that `next_time` returned.
   void on_repeated(time_point now, std::uint64_t random_bits);
 
-  /// An attempt ended without an answer.
+  /// Records an attempt that ended without a response.
   void on_failed(time_point now, std::uint64_t random_bits);
 
-  /// \return When to ask again if there is no answer by then.
+  /// \return Time to send the next attempt if there is no response by then.
   time_point next() const { return this->next_attempt; }
 
-  /// \return True if the store is to be taken for lost: an attempt failed, or a
-  ///     second repeat was due. One late answer alone doesn't say so.
+  /// \return True if the store counts as lost: an attempt failed, or a second
+  ///     hedged copy was due. One late response alone is not enough.
   bool lost() const;
 
   /// \param wait How long the store may hold the attempt.
-  /// \return How long an attempt may take.
+  /// \return Timeout of an attempt.
   milliseconds limit(milliseconds wait) const {
     return wait + this->settings.limit;
   }
--- a/src/decide/ask_again_settings.hpp
+++ b/src/decide/ask_again_settings.hpp
@@ -5,24 +5,23 @@
 
 namespace boragehill::decide {
 
-/// When a question to the platform's store is asked again, and when an attempt
-/// is given up.
+/// Times at which requests to the platform's store are hedged and at which an
+/// attempt times out.
 struct ask_again_settings {
-  /// An answer that comes so much later than the store was asked to hold the
-  /// question is overdue. The store answers in 4 ms; in its slow times it takes
-  /// tens of times that.
+  /// Time after the end of the hold time from which a response is overdue. The
+  /// store answers in 4 ms, and in tens of times that when it is slow.
   milliseconds overdue{500};
-  /// The longest time between two attempts, and twice the shortest, for a
-  /// question that the store may hold up to twice as long. One that may be held
-  /// longer is less urgent and repeated after half of that time: while the
-  /// store answers nobody, 340 routers with polls of 1 and 2 s and 600 agents
-  /// with one of 10 s ask it 1,370 times a second; it bears 2,000.
+  /// Longest time between two attempts, and twice the shortest, for a request
+  /// with a hold time of up to twice this. One with a longer hold time is less
+  /// urgent and uses half of that time instead: while the store is down, 340
+  /// routers with polls of 1 and 2 s and 600 agents with one of 10 s send it
+  /// 1,370 requests a second; it can take 2,000.
   milliseconds between{600};
-  /// Before the first repeat of an attempt that failed at once, as one on a
-  /// connection that the store had closed.
+  /// Longest delay before the first retry of an attempt that failed at once,
+  /// for example on a connection that the store had closed.
   milliseconds first_pause{100};
-  /// Beyond the time that it may be held, how long an attempt may take. Longer
-  /// than `between`, so that a store that is slow gets its answer through.
+  /// Timeout of an attempt in addition to its hold time. Longer than the
+  /// interval between attempts, so that a slow store can still respond.
   milliseconds limit{1500};
 
   bool operator==(const ask_again_settings&) const = default;
--- a/src/decide/decaying_sum.hpp
+++ b/src/decide/decaying_sum.hpp
@@ -9,20 +9,21 @@
 
 namespace boragehill::decide {
 
-/// A sum whose parts lose weight with age; divided by its time constant it is
-/// a rate.
+/// Exponentially decaying sum of amounts; divided by its time constant it is a
+/// rate.
 class decaying_sum {
  public:
-  /// \param constant After this time a part has 1/e of its weight left.
+  /// \param constant Time after which an amount has 1/e of its weight left.
   explicit decaying_sum(milliseconds constant) : constant(constant) {}
 
-  /// Adds an amount at a time not before the last one.
+  /// Adds an amount.
+  /// \param now Not before the time of the previous call.
   void add(double amount, time_point now) {
     this->sum = this->value(now) + amount;
     this->last = now;
   }
 
-  /// \return What is left of the sum.
+  /// \return The decayed sum.
   double value(time_point now) const {
     const std::chrono::duration<double, std::milli> age = now - this->last;
     const double steps = std::max(age.count(), 0.0) /
@@ -30,7 +31,7 @@
     return this->sum * std::exp(-steps);
   }
 
-  /// \return Amount a second.
+  /// \return The rate in amounts per second.
   double per_second(time_point now) const {
     constexpr double ms_per_second = 1000;
     return this->value(now) * ms_per_second /
--- a/src/decide/leaving_servers.hpp
+++ b/src/decide/leaving_servers.hpp
@@ -8,17 +8,19 @@
 
 namespace boragehill::decide {
 
-/// The backend servers that have said in an answer that they leave.
+/// Set of the backend servers that have announced in a response that they are
+/// draining.
 ///
-/// Such a word is final for its lifetime: a list that tells otherwise is older,
-/// or the server couldn't write there. So it outlives the server's entry.
+/// The announcement is final for an incarnation of a server. A server list that
+/// shows otherwise is older, or the server could not write to it. So the
+/// announcement outlives the server's entry in the list.
 class leaving_servers {
  public:
-  /// Servers remembered; the oldest is forgotten first.
+  /// Maximum number of servers; the oldest is removed first.
   static constexpr std::size_t most = 1024;
 
-  /// \param server Its lifetime.
-  /// \return True if that is news.
+  /// \param server Identifies the incarnation of the server.
+  /// \return True if the server was not in the set.
   bool on_told(const std::string& server);
 
   bool contains(const std::string& server) const {
--- a/src/decide/next_order.cpp
+++ b/src/decide/next_order.cpp
@@ -72,7 +72,7 @@
 std::optional<target_order> next_adapter(const fleet::worker_report& report,
                                          const residency_target& target,
                                          const fleet::service& service) {
-  // A worker takes this many adapters at once on their way.
+  // A worker loads up to this many adapters concurrently.
   constexpr std::size_t most_coming = 4;
   for (const auto& full : target.adapters) {
     if (!is_missing(report, full)) continue;
@@ -112,8 +112,8 @@
                                        const std::string& loading,
                                        const residency_target& target,
                                        const fleet::service& service) {
-  // A worker that carries out an order for a model refuses all others, and
-  // what an order of an earlier lifetime of the agent loads isn't known.
+  // A worker that executes an order for a model rejects all others, and the
+  // model that an earlier incarnation of the agent ordered is unknown.
   if (report.busy || !loading.empty()) return std::nullopt;
   // Adapters first: they load in milliseconds.
   if (auto adapter = next_adapter(report, target, service)) return adapter;
--- a/src/decide/next_order.hpp
+++ b/src/decide/next_order.hpp
@@ -11,21 +11,21 @@
 
 namespace boragehill::decide {
 
-/// Decides what to order from a worker, given its own fresh report.
+/// Decides the next order to a worker from its own fresh report.
 ///
-/// Never orders more than its memory or adapter places hold, whatever the
-/// target asks: a worker that is ordered to load more crashes. Models whose
-/// size isn't known are not loaded, and count as everything that is left where
-/// they are resident already.
-/// \param loading The model whose load was ordered and may be under way; the
+/// Never orders more than its memory or adapter slots can hold, whatever the
+/// target says: a worker that is ordered to load more crashes. Models of
+/// unknown size are not loaded; where one is resident, no memory counts as
+/// free.
+/// \param loading The model whose load was ordered and may be in progress; the
 ///     report names it only once it is loaded. Empty if there is none.
-/// \return The order, or nothing if the target is reached or must wait.
+/// \return The order; nothing if the target is reached or must wait.
 std::optional<target_order> next_order(const fleet::worker_report& report,
                                        const std::string& loading,
                                        const residency_target& target,
                                        const fleet::service& service);
 
-/// \return The accelerator memory that the worker has left, in megabytes.
+/// \return The free accelerator memory of the worker, in megabytes.
 double free_memory_mb(const fleet::worker_report& report,
                       const fleet::service& service);
 
--- a/src/decide/resting_servers.hpp
+++ b/src/decide/resting_servers.hpp
@@ -9,32 +9,34 @@
 
 namespace boragehill::decide {
 
-/// The backend servers that have asked for a rest, each until its end.
+/// The backend servers that have rejected a request with Retry-After, each with
+/// the end of its retry-after period.
 ///
-/// A server that turns requests away looks idle, so it would be chosen before
-/// those that work, and each request for it uses up the budget for repeats.
+/// A server that rejects requests looks idle, so it would be preferred to
+/// working servers, and each request sent there would use up retry budget.
 class resting_servers {
  public:
-  /// A server wants nothing until then. A rest is never shortened.
-  /// \param server Its lifetime.
-  /// \return True if it didn't rest.
+  /// Starts the retry-after period of a server, or extends it; a period is
+  /// never shortened.
+  /// \param server Identifies the incarnation of the server.
+  /// \param until End of the period.
+  /// \return True if the server was not in a retry-after period.
   bool on_asked(const std::string& server, time_point until, time_point now);
 
-  /// \return The end of its rest; nothing if it doesn't rest.
+  /// \return End of the server's retry-after period; nothing if it is in none.
   std::optional<time_point> until(const std::string& server,
                                   time_point now) const;
 
-  /// \return True if none is known to rest; rests that are over count until
-  /// they
-  ///     are dropped.
+  /// \return True if no period is stored. Expired periods count until they are
+  ///     dropped.
   bool empty() const { return this->rests.empty(); }
 
-  /// A server that falls silent in its rest may have requests, so it is asked
-  /// whether it lives.
-  /// \return False if it rests and was asked in this rest.
+  /// Decides whether a server whose responses have stalled may be probed. In a
+  /// retry-after period it may still have requests, so one probe is allowed.
+  /// \return False if the server has been probed in its current period.
   bool take_question(const std::string& server, time_point now);
 
-  /// Forgets the rests that are over.
+  /// Removes the expired periods.
   /// \return True if there was one.
   bool drop_ended(time_point now);
 
--- a/src/decide/running_mean.hpp
+++ b/src/decide/running_mean.hpp
@@ -5,12 +5,11 @@
 
 namespace boragehill::decide {
 
-/// An exponentially weighted mean of durations, from a first guess.
+/// Exponentially weighted mean of durations, with an initial guess.
 class running_mean {
  public:
   explicit running_mean(milliseconds first_guess) : mean(first_guess) {}
 
-  /// Takes one measured duration in.
   void add(milliseconds measured) {
     constexpr int weight_of_old = 7;
     this->mean = this->seen ? (this->mean * weight_of_old + measured) /
@@ -19,7 +18,7 @@
     this->seen = true;
   }
 
-  /// Returns whether the value rests on a measurement.
+  /// \return False while the value is still the initial guess.
   bool measured() const { return this->seen; }
 
   milliseconds value() const { return this->mean; }
--- a/src/decide/server_candidate.hpp
+++ b/src/decide/server_candidate.hpp
@@ -3,19 +3,19 @@
 
 namespace boragehill::decide {
 
-/// One backend server that could take a request, as the chooser sees it.
+/// A backend server that could take a request, as input of `choose_server`.
 struct server_candidate {
-  /// Requests that this router has there.
+  /// Number of this router's requests at the server.
   int own_requests = 0;
-  /// Requests that the other routers have there, as last told.
+  /// Number of the other routers' requests at the server, as last reported.
   int other_requests = 0;
-  /// Prompt tokens of this router's requests there that have no answer yet.
+  /// Prompt tokens of this router's requests whose responses have not started.
   int unread_tokens = 0;
-  /// Requests that it runs at once.
+  /// Number of requests that the server runs concurrently.
   int slots = 1;
-  /// It is in the router's failure domain.
+  /// The server is in the router's failure domain.
   bool near = false;
-  /// It failed lately; used only where nothing else is left.
+  /// The server failed recently; it is used only if no other has capacity.
   bool suspect = false;
 
   bool operator==(const server_candidate&) const = default;
--- a/src/decide/server_choice.cpp
+++ b/src/decide/server_choice.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 
-/// Reading so many prompt tokens takes a worker about 50 ms, in which all its
-/// streams stand still; it counts like all its slots being taken.
+/// Processing this many prompt tokens takes a worker about 50 ms, in which all
+/// its streams pause; it counts like all its slots being taken.
 constexpr double tokens_like_full = 2000;
-/// A crossing to another failure domain costs about as much as this part of a
-/// server's slots being taken.
+/// Sending a request to another failure domain costs about as much as this
+/// fraction of a server's slots being taken.
 constexpr double distance_cost = 0.03;
-/// Above any load, so that a suspect is taken only if all others are full.
+/// Above the cost of any load, so that a suspected server is chosen only if all
+/// others are full.
 constexpr double suspect_cost = 1000;
 
 double cost_of(const server_candidate& each) {
--- a/src/decide/server_choice.hpp
+++ b/src/decide/server_choice.hpp
@@ -10,26 +10,25 @@
 
 namespace boragehill::decide {
 
-/// Chooses the backend server for a request: the one with the most room, near
-/// ones first where the room is alike, suspects last.
+/// Chooses the backend server for a request: the one with the most free
+/// capacity, local ones first among equals, suspected ones last.
 ///
-/// Answers the load of a busy model with several replicas: with a random
-/// choice the fullest had four times the mean. What is being read counts most:
-/// prompts that come in a clump to one worker hold up every stream there, so
-/// that 70 of 1,130 streams paused for over 250 ms, although it was far from
-/// full.
-/// \param queue_share How far above its slots a server may be filled; its own
-///     queue is short and knows priorities, so a little of it is used.
-/// \param most_unread Prompt tokens of this router that may be unread at the
-///     server, see `unread_limits`. It is lower for requests whose latency
-///     objective has passed, so that those which can still be in time are: a
-///     model comes back after a restart with a hundred requests waiting, and
-///     sent all at once their prompts kept the worker reading for two seconds,
-///     in which new requests were late, too, and streams stood still until
-///     their callers left.
-/// \param random Any bits; they break ties, so that routers with the same view
-///     don't all choose the same server.
-/// \return The index of the candidate, or nothing if all are full.
+/// With a random choice among the replicas of a busy model, the fullest had
+/// four times the mean load. The prompt backlog counts most: a burst of prompts
+/// at one worker pauses every stream there, so that 70 of 1,130 streams paused
+/// for over 250 ms although the worker was far from full.
+/// \param queue_share Fraction of its slots by which a server may be
+///     overfilled; its own queue is short and honours priorities, so it is used
+///     a little.
+/// \param most_unread Limit of this router's prompt backlog at the server, see
+///     `prompt_backlog_limits`. It is lower for requests whose latency
+///     objective has passed, so that they don't make others late: when a model
+///     restarted with a hundred requests waiting, their prompts kept the worker
+///     busy for 2 s, in which new requests became late, too, and streams
+///     paused until their callers gave up.
+/// \param random Random bits that break ties, so that routers with the same
+///     view don't all choose the same server.
+/// \return Index of the candidate; nothing if all are full.
 std::optional<std::size_t> choose_server(
     const std::vector<server_candidate>& candidates, double queue_share,
     int most_unread, std::uint64_t random);
--- a/src/decide/silence_watch.cpp
+++ b/src/decide/silence_watch.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// A living server answers the question within some milliseconds.
+/// A live server answers a probe within some milliseconds.
 constexpr milliseconds question_limit{150};
 constexpr milliseconds question_pause{200};
-/// A server that answered the question has so long to go on with the requests.
+/// Time that a server has after a successful probe to make progress again.
 constexpr milliseconds trust{300};
-/// One that answers questions and no request is asked later each time, up to
-/// 200 ms * 2^4: it is used a tenth of the time.
+/// A server that answers probes but no requests is probed at growing intervals,
+/// up to 200 ms * 2^4, so that it is in use for a tenth of the time.
 constexpr int most_doublings = 4;
 
 }  // namespace
--- a/src/decide/silence_watch.hpp
+++ b/src/decide/silence_watch.hpp
@@ -9,51 +9,54 @@
 
 namespace boragehill::decide {
 
-/// Doubts a backend server whose answers stand still, until it is heard again.
+/// Suspects a backend server whose responses have stalled, until it sends data
+/// again or answers a probe.
 ///
-/// A doubted server gets no new request. What was sent there in the tenths of a
-/// second before is all that it can run in vain when it wakes. A question to
-/// the server itself decides: a false doubt, of a worker that reads a long
-/// prompt, ends with its answer after some milliseconds.
+/// A suspected server gets no new requests, so when it resumes it runs at most
+/// the requests of the last tenths of a second for nobody. The suspicion is
+/// checked by a probe to the server: a false one, of a worker that processes a
+/// long prompt, is cleared by the probe's response within milliseconds.
 class silence_watch {
  public:
-  /// What a judgement changed.
+  /// Change of state by `update`.
   enum class news { none, doubted, heard };
 
   answer_pulse& answers() { return this->pulse; }
   const answer_pulse& answers() const { return this->pulse; }
 
-  /// Looks at the answers under way.
+  /// Re-evaluates the suspicion from the progress of the responses.
   news judge(time_point now);
 
   bool doubted() const { return this->since.has_value(); }
 
-  /// \return True if the doubt has lasted for long enough to tell others.
+  /// \return True if the suspicion has lasted long enough to be reported to
+  ///     other processes.
   bool confirmed(time_point now) const;
 
-  /// \return True if the server is doubted and left a question unanswered.
+  /// \return True if the server is suspected and the last probe failed.
   bool unanswering() const { return this->doubted() && this->question_failed; }
 
-  /// \return True if the server should be asked now.
+  /// \return True if a probe should be sent now.
   bool question_due(time_point now) const {
     return this->doubted() && !this->asking && now >= this->next_question;
   }
 
-  /// A question was sent.
   void on_asked() { this->asking = true; }
 
-  /// A question was answered, by whatever status, or wasn't in time.
-  /// \return True if that ended a doubt.
+  /// Records the result of a probe.
+  /// \param answered True for a response with any status; false for a timeout.
+  /// \return True if this cleared a suspicion.
   bool on_question_ended(bool answered, time_point now);
 
-  /// The router itself stood still: what the server did meanwhile may not have
-  /// been read yet.
+  /// Excludes a pause of the router itself: data that the server sent meanwhile
+  /// may not have been read yet.
+  /// \param until End of the pause.
   void excuse(time_point until) {
     this->pulse.excuse(until);
     this->question_failed = false;
   }
 
-  /// The answer to a question may have been missed; it tells nothing.
+  /// Drops a probe without a result, because its response may have been missed.
   void on_question_missed() { this->asking = false; }
 
  private:
@@ -65,13 +68,13 @@
   answer_pulse pulse;
   std::optional<time_point> since;
   bool asking = false;
-  /// The last question of this doubt was left unanswered.
+  /// The last probe during the current suspicion failed.
   bool question_failed = false;
   time_point next_question;
-  /// Questions that were answered since the last piece of an answer: the
-  /// server lives, and still answers no request.
+  /// Successful probes since the last data of a response: the server is alive
+  /// but does not respond to requests.
   int hollow_answers = 0;
-  /// No doubt arises before.
+  /// No new suspicion is raised before this time.
   time_point trusted_until;
 };
 
--- a/src/decide/silent_wait.hpp
+++ b/src/decide/silent_wait.hpp
@@ -5,36 +5,37 @@
 
 namespace boragehill::decide {
 
-/// A request at a backend server that is silent and left a status check
-/// unanswered.
+/// A request at a backend server whose responses have stalled and which did not
+/// answer a probe.
 struct silent_wait {
-  /// Since the server was heard last.
+  /// Time since the last data from the server.
   milliseconds silent{0};
-  /// Until the caller gives up or the final answer is due.
+  /// Time until the caller gives up or the final response is due.
   milliseconds remaining{0};
-  /// Part of the answer has come.
+  /// Part of the response has arrived.
   bool begun = false;
-  /// It may run twice, and another server takes it now.
+  /// The request may run twice, and another server can take it now.
   bool movable = false;
 
   bool operator==(const silent_wait&) const = default;
 };
 
-/// What becomes of such a request.
+/// What to do with a stalled request.
 enum class silent_wait_step {
-  /// It waits on: the server may go on.
+  /// Keep waiting: the server may resume.
   wait,
-  /// It goes to the other server.
+  /// Send it to the other server.
   move,
-  /// Its caller is told that the outcome is unknown.
+  /// Respond to the caller that the outcome is unknown.
   give_up,
 };
 
-/// Decides how long a request waits for a silent server.
+/// Decides whether a request keeps waiting for an unresponsive server.
 ///
-/// A silence is expected to last as long again as it has lasted. Once that is
-/// more than the caller will wait, the caller is told, while it still has time
-/// to act on the answer. An answer that has begun is never ended for silence.
+/// A stall is expected to last as long again as it has lasted so far. Once that
+/// exceeds the caller's remaining time, the request is given up, while the
+/// caller still has time to act on the response. A response that has started is
+/// never given up because of a stall.
 silent_wait_step judge_silent_wait(const silent_wait& request);
 
 }  // namespace boragehill::decide
--- a/src/decide/spread_estimate.hpp
+++ b/src/decide/spread_estimate.hpp
@@ -7,8 +7,8 @@
 
 namespace boragehill::decide {
 
-/// A running mean of durations and of how far they lie from it, as TCP keeps
-/// them for its retransmission time-out (RFC 6298).
+/// Running mean and mean deviation of durations, as in TCP's retransmission
+/// timeout (RFC 6298).
 class spread_estimate {
  public:
   void add(milliseconds measured) {
@@ -26,7 +26,8 @@
     this->mean += weight_of_mean * (value - this->mean);
   }
 
-  /// \return A duration that nearly none exceeds; 0 before the first.
+  /// \return Duration that few samples exceed: the mean plus four deviations;
+  ///     0 without samples.
   milliseconds nearly_all() const {
     constexpr double spreads = 4;
     return milliseconds(std::llround(this->mean + spreads * this->spread));
--- a/src/decide/stop_gate.hpp
+++ b/src/decide/stop_gate.hpp
@@ -7,32 +7,35 @@
 
 namespace boragehill::decide {
 
-/// Which requests a router still sends to a server while it stops.
+/// Decides which requests a router still sends to a server during its
+/// shutdown.
 ///
-/// The balancer needs some seconds to send callers elsewhere, so what comes
-/// until then is served. What comes later is served only if it surely ends
-/// before the process does: a longer one would be cut off in the middle, and,
-/// refused at once, its caller finds another router in a moment. Refusing all
-/// of it would be worse where all routers are stopped in quick succession:
-/// then a caller that is sent away meets only others that stop. A request that
-/// waits for a server uses up its time, so it is judged until it is sent.
+/// The load balancer needs some seconds to direct callers to other routers, so
+/// requests until then are served. A later one is served only if it surely ends
+/// before the process does: a longer one would be cut off, while a caller that
+/// is rejected at once soon reaches another router. Later requests aren't all
+/// rejected, since during a quick succession of router shutdowns the caller
+/// would reach only other routers that shut down. Time spent waiting for a
+/// server counts too, so the decision is repeated until the request is sent.
 class stop_gate {
  public:
-  /// The balancer asks once a second and takes a process out of the rotation
-  /// after two misses; the rest is the way there.
+  /// Time until the load balancer stops sending callers here. It checks the
+  /// process once a second and removes it after two failures; the rest is
+  /// network delay.
   static constexpr milliseconds balancer_notices{2900};
 
-  /// The stop begins.
+  /// Starts the shutdown.
   /// \param until When the process ends.
   void close(time_point now, time_point until);
 
-  /// Nothing is open any more, and the process ends: from now on all is
-  /// refused, so that no request is taken in the last moment and cut off.
+  /// Rejects all requests from now on. Called when no request is open and the
+  /// process is about to end, so that none is accepted at the last moment and
+  /// cut off.
   void shut() { this->shut_for_good = true; }
 
-  /// \param needs From a send to the end of the answer.
-  /// \param start When a server gets the request at the earliest.
-  /// \return True if it must be refused.
+  /// \param needs Time from sending the request to the end of its response.
+  /// \param start Earliest time at which a server receives the request.
+  /// \return True if the request must be rejected.
   bool refuses(milliseconds needs, time_point start) const;
 
  private:
--- a/src/decide/target_order.hpp
+++ b/src/decide/target_order.hpp
@@ -7,11 +7,11 @@
 
 namespace boragehill::decide {
 
-/// The next thing a worker has to do to reach its target.
+/// The next load or unload that brings a worker closer to its target.
 struct target_order {
   fleet::worker_order::kind what = fleet::worker_order::kind::load;
   std::string model;
-  /// Empty if it is the model itself.
+  /// Name of the adapter; empty for an order about the model itself.
   std::string adapter;
 
   bool operator==(const target_order&) const = default;
--- a/src/decide/unread_limits.hpp
+++ b/src/decide/unread_limits.hpp
@@ -5,27 +5,29 @@
 
 namespace boragehill::decide {
 
-/// How many prompt tokens of a router may lie unread at a server that gets one
-/// more request of it.
+/// Limits the prompt backlog at a server: the prompt tokens that it has not
+/// processed yet when a router sends it one more request.
 ///
-/// The load they answer: a worker reads a long prompt for more than a second,
-/// and all that is sent meanwhile lies behind it. What a server has can't be
-/// taken back, since it may run: it doesn't go to another server that has room
-/// by then, isn't refused truthfully, and is lost with its callers if the
-/// server stands still. What waits in the router can do all of that.
+/// A worker may process a long prompt for more than a second, and requests sent
+/// meanwhile queue behind it. A request that a server has can't be withdrawn,
+/// since it may run: it can't move to a server that has capacity by then, can't
+/// be rejected as not run, and is lost if the server stalls. A request that
+/// waits in the router can do all of these.
 struct unread_limits {
-  /// Of all routers. A worker reads so many in half a second, so it never
-  /// stands idle for want of what waits in routers.
+  /// Limit for all routers together. A worker processes this many tokens in
+  /// half a second, so it is never idle while requests wait in routers.
   int at_server = 16000;
-  /// Of one router, for a request that is late already: four routers then keep
-  /// a server reading for 0.2 s.
+  /// Limit for one router and a request whose latency objective has passed:
+  /// four routers then keep a server busy with prompts for 0.2 s.
   int late = 2000;
 
   bool operator==(const unread_limits&) const = default;
 
   /// \param is_late The request's latency objective has passed.
-  /// \param routers That send to the server; at least 1.
-  /// \return The most tokens that this router may have unread there.
+  /// \param routers Number of routers that send to the server; less than 1
+  /// counts
+  ///     as 1.
+  /// \return Maximum backlog of one router at the server, in prompt tokens.
   int of_router(bool is_late, int routers) const {
     const int share = this->at_server / std::max(routers, 1);
     return is_late ? std::min(this->late, share) : share;
--- a/src/decide/view_filter.hpp
+++ b/src/decide/view_filter.hpp
@@ -3,16 +3,17 @@
 
 namespace boragehill::decide {
 
-/// Tells whether routers need to hear of a changed number of requests at a
-/// worker.
+/// Decides whether a changed number of requests at a worker is reported to the
+/// routers.
 ///
-/// Told of every change, the planner of a fleet of 21 routers and 39 workers
-/// sent over a megabyte a second, more than the links of the smallest machines
-/// carry; its news then came seconds late, and no model was woken in time.
-/// \param told The number that was told last.
-/// \param now The number as it is.
+/// With every change reported, the planner of a fleet of 21 routers and 39
+/// workers sent over 1 MB/s, more than the links of the smallest VMs carry; its
+/// updates then arrived seconds late, and no model was loaded in time.
+/// \param told The number that was reported last.
+/// \param now The current number.
 inline bool worth_telling(int told, int now) {
-  // Less than this changes no choice between workers of some dozen slots.
+  // Smaller changes don't affect the choice between workers with dozens of
+  // slots.
   constexpr int least = 3;
   constexpr int part = 4;
   const int change = now > told ? now - told : told - now;
--- a/src/decide/wait_case.hpp
+++ b/src/decide/wait_case.hpp
@@ -7,19 +7,20 @@
 
 namespace boragehill::decide {
 
-/// A request that waits for a server, as the judge of its waiting sees it.
+/// State of a request that waits for a server, as input of the wait limit.
 struct wait_case {
   milliseconds waited{0};
-  /// Until its final answer is due.
+  /// Time until its final response is due.
   milliseconds left{0};
-  /// Its answer is a stream of events.
+  /// Its response is a stream of events.
   bool stream = false;
-  /// Its route's objectives: to the first event, and between two.
+  /// Latency objectives of its route: up to the first event, and between two
+  /// events.
   milliseconds objective{0};
   milliseconds gap_objective{0};
-  /// When the planner expects a worker to have its model, if it said.
+  /// Time until a worker has its model, if the planner has reported one.
   std::optional<milliseconds> ready_in;
-  /// A server is listed that may take it, now or once it has room or the model.
+  /// A listed server can take it, now or once it has capacity or the model.
   bool has_server = true;
 
   bool operator==(const wait_case&) const = default;
--- a/src/decide/wait_limit.cpp
+++ b/src/decide/wait_limit.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-/// What a platform's callers bear at the least, and in multiples of the
-/// objectives.
+/// Timeouts of a platform's callers: the minimum, and the multiples of the
+/// latency objectives.
 constexpr milliseconds least_patience{2000};
 constexpr int objectives_borne = 4;
 constexpr int gaps_borne = 8;
-/// From a send to the first event: the way there and back, and the prompt.
+/// From sending a request to its first event: the network round trip and the
+/// processing of the prompt.
 constexpr milliseconds start_needs{150};
-/// So that the caller that comes back meets the model, not its last moments
-/// of loading.
+/// Added so that a retry doesn't arrive just before the load has finished.
 constexpr milliseconds retry_slack{100};
-/// Where nobody knows when the model will be there.
+/// Used if the time at which the model will be loaded is unknown.
 constexpr milliseconds unknown_retry{1000};
-/// Where no server is left. A crashed one is back, or a new one is listed,
-/// within seconds; a caller comes back once, so not at the first moment.
+/// Used if no server is left. A crashed one restarts, or a new one is listed,
+/// within seconds; a caller retries only once, so the earliest moment would be
+/// too soon.
 constexpr milliseconds new_server_retry{1000};
 
 }  // namespace
--- a/src/decide/wait_limit.hpp
+++ b/src/decide/wait_limit.hpp
@@ -9,22 +9,22 @@
 
 namespace boragehill::decide {
 
-/// How long a caller waits for the first event of a stream, or for anything,
-/// before it leaves by itself.
+/// Estimates how long a caller waits for the first event of a stream, or for a
+/// plain response, before it gives up.
 ///
-/// Callers of streams leave after a silence of two seconds, four times the
-/// objective or eight times the objective between events, whichever is
-/// longest; other callers wait out their deadline.
+/// Callers of streams give up after two seconds without an event, four times
+/// the first-event objective or eight times the objective between events,
+/// whichever is longest; other callers wait until their deadline.
 milliseconds patience_of(const wait_case& waiting);
 
-/// Judges whether a waiting request should be refused now.
+/// Decides whether a waiting request should be rejected now.
 ///
-/// The load it answers: demand moves to a model that stands nowhere, and its
-/// callers wait for a load that takes longer than they stay. Held to the end
-/// they get nothing and don't know when to come back; told at once when the
-/// model will be there, they are served then.
-/// \return After what time its caller should come back; nothing if it should
-///     wait on.
+/// If demand moves to a model that is not loaded on any worker, loading it may
+/// take longer than callers wait. Without rejection they would time out without
+/// knowing when to retry; rejected at once with the expected time of the load,
+/// they are served on their retry.
+/// \return Time after which the caller should retry; nothing if the request
+///     should keep waiting.
 std::optional<milliseconds> refuse_waiting_now(const wait_case& waiting);
 
 }  // namespace boragehill::decide
--- a/src/decide/worker_orders.cpp
+++ b/src/decide/worker_orders.cpp
@@ -21,8 +21,8 @@
 
 void worker_orders::on_report(const fleet::worker_report& news,
                               time_point now) {
-  // The count may have grown beyond the old one before the first report of a
-  // new lifetime, so it alone doesn't tell.
+  // The sequence number alone doesn't show a restart: it may have passed the
+  // old one before the first report of the new incarnation.
   const bool restarted =
       news.born != this->known_born || news.sequence < this->known_sequence;
   if (restarted) this->on_new_lifetime(now);
@@ -76,8 +76,8 @@
   if (this->given || now < this->not_before) return std::nullopt;
   if (this->fence == 0 || !this->service || !this->report) return std::nullopt;
   if (this->server.empty()) return std::nullopt;
-  // Decided for another lifetime under the same id, which the order's name
-  // alone doesn't keep out.
+  // The target was decided for another incarnation of the worker with the same
+  // id, so the server name in the order would not prevent its execution.
   const bool known = this->server_born != 0 && this->report->born != 0;
   if (known && this->server_born != this->report->born) return std::nullopt;
   const auto wanted =
@@ -103,7 +103,7 @@
       order.what == fleet::worker_order::kind::load && order.adapter.empty();
   switch (answer) {
     case fleet::order_answer::accepted:
-      // Nothing more until a report shows what came of it.
+      // Issue no further order until a report shows the effect.
       this->report.reset();
       if (!loads_model) return;
       this->loading_model = order.model;
--- a/src/decide/worker_orders.hpp
+++ b/src/decide/worker_orders.hpp
@@ -16,53 +16,58 @@
 
 namespace boragehill::decide {
 
-/// The orders of one agent to its worker, one at a time.
+/// Issues the orders of an agent to its worker, one at a time.
 ///
-/// An order whose answer was lost may be carried out seconds later, after
-/// newer ones. Each order names the sequence number that it expects, and the
-/// worker raises the number with each order that it accepts, so of two orders
-/// that expect the same number at most one is carried out, and the state for
-/// which it was decided still holds then.
+/// An order whose response was lost may be executed seconds later, after newer
+/// ones. Each order names the sequence number that it expects, and the worker
+/// increments the number with each order that it accepts. So at most one of two
+/// orders that expect the same number is executed, and only in the state for
+/// which it was decided.
 class worker_orders {
  public:
-  /// How long an order without an answer is waited for before another one with
-  /// the same number is given.
+  /// Delay after an order without a response before another one with the same
+  /// sequence number is issued.
   static constexpr milliseconds unknown_wait{60};
-  /// After a refusal; the view it was decided on is being corrected.
+  /// Delay after a rejected order, until the view that it was based on has been
+  /// corrected.
   static constexpr milliseconds refused_wait{100};
-  /// An order without an answer was seen carried out up to 12 s later.
+  /// Time after which an order without a response is no longer executed. Orders
+  /// were seen executed up to 12 s late.
   static constexpr milliseconds late_limit{13000};
 
   worker_orders(std::string holder, std::string worker_service);
 
-  /// Orders need a number that no earlier lifetime of the agent had.
+  /// Sets the fencing number, which no earlier incarnation of the agent had;
+  /// without it no order is issued.
   void set_fence(std::int64_t number) { this->fence = number; }
   void set_service(std::optional<fleet::service> known) {
     this->service = std::move(known);
   }
-  /// \param born When the lifetime that is meant started; 0 if it isn't known.
+  /// \param wanted The residency to reach.
+  /// \param born Start time of the incarnation of the worker for which `wanted`
+  ///     was decided; 0 if unknown.
   void set_target(std::string server, residency_target wanted,
                   std::int64_t born = 0);
 
-  /// Takes the worker's own fresh report in.
+  /// Processes a fresh report of the worker itself.
   void on_report(const fleet::worker_report& news, time_point now);
 
-  /// \return The order to give now, if any; it counts as given.
+  /// \return The order to send now, if any; it counts as sent.
   std::optional<fleet::worker_order> next(time_point now);
 
   void on_answer(const fleet::worker_order& order, fleet::order_answer answer,
                  time_point now);
 
-  /// \return The model whose load is under way, or empty.
+  /// \return The model that is being loaded, or empty.
   const std::string& loading() const { return this->loading_model; }
-  /// \return True if an order or a load is under way.
+  /// \return True if an order or a load is in progress.
   bool busy() const {
     return this->given || !this->loading_model.empty() ||
            (this->report && this->report->busy);
   }
 
  private:
-  /// An order that may still be carried out.
+  /// A load order without a response, which may still be executed.
   struct late_order {
     std::string model;
     bool adapter = false;
@@ -80,17 +85,19 @@
   std::string server;
   std::int64_t server_born = 0;
   residency_target target;
-  /// Of the last report, also when that counts no more.
+  /// Start time and sequence number of the worker as of the last report, kept
+  /// when `report` is discarded.
   std::int64_t known_born = 0;
   std::int64_t known_sequence = 0;
-  /// The last order given, until it is answered.
+  /// The last order sent, until its response.
   std::optional<fleet::worker_order> unanswered;
-  /// Orders without an answer of this lifetime, and of earlier ones.
+  /// Orders without a response: of the worker's current incarnation, and of
+  /// earlier ones.
   std::vector<late_order> doubtful;
   std::vector<late_order> late;
   std::optional<fleet::worker_report> report;
   std::string loading_model;
-  /// The sequence number that the accepted load leads to.
+  /// Sequence number of the worker after the accepted load order.
   std::int64_t loading_sequence = 0;
   bool given = false;
   time_point not_before;
--- a/test/decide-test/answer_pace_test.cpp
+++ b/test/decide-test/answer_pace_test.cpp
@@ -16,7 +16,8 @@
 }
 
 TEST(answer_pace_test, reckons_with_the_slowest_answer_of_late) {
-  // Guards against answers of busy workers that outlast what they are granted.
+  // Guards against time limits that are too short for responses of busy
+  // workers.
   answer_pace pace;
   pace.on_answer(300, milliseconds(4500), begin);
   pace.on_answer(300, milliseconds(600), begin + seconds(1));
@@ -25,7 +26,8 @@
 }
 
 TEST(answer_pace_test, never_grants_less_than_the_usual_pace) {
-  // Guards against a few short answers that say nothing of long ones.
+  // Guards against an estimate from a few short responses, which say nothing
+  // about long ones.
   answer_pace pace;
   pace.on_answer(300, milliseconds(10), begin);
   pace.on_answer(0, seconds(60), begin);
@@ -33,21 +35,22 @@
 }
 
 TEST(answer_pace_test, learns_little_from_a_short_answer_that_stalls) {
-  // Guards against refusing all callers for one stalled answer of one token.
+  // Guards against rejecting all callers because of one stalled response of one
+  // token.
   answer_pace pace;
   pace.on_answer(1, milliseconds(400), begin);
   EXPECT_EQ(pace.most_time(300, begin), seconds(7));
 }
 
 TEST(answer_pace_test, grants_no_more_than_clocks_bear) {
-  // Guards against an overflow by what a caller may claim.
+  // Guards against an overflow through the token limit that a caller sends.
   answer_pace pace;
   pace.on_answer(1, std::chrono::hours(10), begin);
   EXPECT_LT(pace.most_time(2000000000, begin), std::chrono::hours(2));
 }
 
 TEST(answer_pace_test, forgets_a_slow_answer_after_a_while) {
-  // Guards against refusals for an hour after a short crowd.
+  // Guards against rejections long after a short load peak.
   answer_pace pace;
   pace.on_answer(100, seconds(3), begin);
   pace.on_answer(100, seconds(1), begin + seconds(11));
--- a/test/decide-test/answer_size_test.cpp
+++ b/test/decide-test/answer_size_test.cpp
@@ -11,8 +11,8 @@
 }
 
 TEST(answer_size_test, reckons_with_a_multiple_of_the_hint) {
-  // Guards against refusing every answer for the few that are as long as they
-  // may be.
+  // Guards against rejecting all requests because of the few responses that
+  // reach their maximum length.
   EXPECT_EQ((answer_size{.most = 300, .hint = 20}).safe_tokens(), 120);
 }
 
--- a/test/decide-test/ask_again_test.cpp
+++ b/test/decide-test/ask_again_test.cpp
@@ -10,8 +10,8 @@
 constexpr milliseconds wait{1000};
 const time_point begin{std::chrono::seconds(100)};
 
-/// Asks without end while a store swallows what comes in or is held within a
-/// span, and answers all else after a while.
+/// A store that never answers the requests that arrive or are held during a
+/// stall, and answers all others after its latency; polled without end.
 class silent_store_world {
  public:
   silent_store_world(milliseconds silent_from, milliseconds silent_until,
@@ -20,7 +20,8 @@
         silent_until(begin + silent_until),
         latency(latency) {}
 
-  /// \return When the feed has an answer that was given after the silence.
+  /// \return When the poller gets the first response that was sent after the
+  ///     stall.
   time_point first_answer_after_the_silence(std::uint64_t random_bits) const {
     time_point asked = begin;
     while (true) {
@@ -35,10 +36,11 @@
     return when >= this->silent_from && when < this->silent_until;
   }
 
-  /// \return When an attempt is answered; nothing if it is swallowed.
+  /// \return When an attempt gets its response; nothing if it never does.
   std::optional<time_point> answer_to(time_point sent,
                                       milliseconds held) const {
-    // The store answers a held poll at once when it has news: at its return.
+    // The store answers a poll at once if it has an update, as it has after the
+    // stall, and otherwise at the end of the hold time.
     const bool overlaps =
         sent < this->silent_until && sent + held >= this->silent_from;
     if (this->is_silent(sent) || overlaps) return std::nullopt;
@@ -65,9 +67,9 @@
 };
 
 TEST(ask_again_test, the_stores_return_is_noticed_in_time_whatever_the_phase) {
-  // A store is silent for some time, and a change is confirmed at its return.
-  // Whatever moment a poll was swallowed at, the change has to be known two
-  // seconds later; with one attempt after the other it took up to 3.7 s.
+  // A store stalls for some time, and a change is confirmed when it recovers.
+  // The change has to be known two seconds later, whenever the lost poll was
+  // sent; with one attempt at a time it took up to 3.7 s.
   for (int from = 0; from < 1100; from += 50) {
     for (int length = 10; length < 7000; length += 130) {
       for (const std::uint64_t random : {0, 150, 300}) {
@@ -93,8 +95,8 @@
 }
 
 TEST(ask_again_test, an_attempt_that_fails_at_once_is_repeated_soon) {
-  // The store closes a kept connection between two polls; that is no outage of
-  // the store, and the news behind it must not wait.
+  // The store closes a persistent connection between two polls. This is no
+  // outage of the store, and must not delay the next update.
   ask_again schedule{{}};
   schedule.begin(begin, wait);
   schedule.on_failed(begin, 50);
@@ -103,8 +105,8 @@
 }
 
 TEST(ask_again_test, a_store_that_refuses_is_asked_twice_or_thrice_a_second) {
-  // A store beyond its rate refuses calls. All processes ask it anew, and
-  // together they must stay below what it can bear.
+  // A store rejects calls above its rate limit. All processes retry, and
+  // together they must stay below that limit.
   ask_again schedule{{}};
   schedule.begin(begin, wait);
   int attempts = 0;
@@ -119,7 +121,7 @@
   EXPECT_GE(attempts, 16);
 }
 
-/// \return How often a process asks in a second while nobody answers.
+/// \return Number of attempts per second of a process that gets no response.
 double asked_a_second(milliseconds held) {
   ask_again schedule{{}};
   schedule.begin(begin, held);
@@ -132,8 +134,8 @@
 }
 
 TEST(ask_again_test, a_silent_store_is_not_flooded_at_the_size_designed_for) {
-  // All processes lose the store together and ask until it is back. Beyond what
-  // it bears it would refuse them at its return, and go on refusing.
+  // All processes lose the store at the same time and retry until it recovers.
+  // Above its rate limit it would reject them then, and keep rejecting them.
   constexpr double routers = 340;
   constexpr double agents = 600;
   constexpr double calls_borne = 2000;
--- a/test/decide-test/leaving_servers_test.cpp
+++ b/test/decide-test/leaving_servers_test.cpp
@@ -16,7 +16,7 @@
 }
 
 TEST(leaving_servers_test, forgets_the_oldest_beyond_its_bound) {
-  // Guards against memory that grows with each server that ever left.
+  // Guards against memory use that grows with every server that ever drained.
   leaving_servers leaving;
   for (std::size_t each = 0; each <= leaving_servers::most; ++each) {
     EXPECT_TRUE(leaving.on_told("i-" + std::to_string(each)));
--- a/test/decide-test/resting_servers_test.cpp
+++ b/test/decide-test/resting_servers_test.cpp
@@ -20,7 +20,7 @@
 }
 
 TEST(resting_servers_test, is_not_cut_short_by_a_later_answer) {
-  // Guards against answers to requests that were on their way when the rest
+  // Guards against responses to requests that were in flight when the period
   // began.
   resting_servers resting;
   resting.on_asked("i-1", begin + seconds(3), begin);
@@ -39,7 +39,8 @@
 }
 
 TEST(resting_servers_test, is_asked_once_in_each_rest) {
-  // Guards against requests that hang at a server that falls silent in a rest.
+  // Guards against requests that hang at a server that stalls during its
+  // retry-after period.
   resting_servers resting;
   EXPECT_TRUE(resting.take_question("i-1", begin));
   resting.on_asked("i-1", begin + seconds(3), begin);
@@ -52,7 +53,8 @@
 }
 
 TEST(resting_servers_test, forgets_rests_that_are_over) {
-  // Guards against memory that grows with each server that ever rested.
+  // Guards against memory use that grows with every server that ever sent
+  // Retry-After.
   resting_servers resting;
   resting.on_asked("i-1", begin + seconds(3), begin);
   EXPECT_FALSE(resting.drop_ended(begin + seconds(2)));
--- a/test/decide-test/server_choice_test.cpp
+++ b/test/decide-test/server_choice_test.cpp
@@ -10,8 +10,8 @@
 constexpr int any_unread = std::numeric_limits<int>::max();
 
 TEST(server_choice_test, spreads_a_busy_model_evenly_over_its_replicas) {
-  // One router sends 60 requests for a model with five replicas. Chosen at
-  // random the fullest gets far more than its part and its answers come late.
+  // One router sends 60 requests for a model with five replicas. With a random
+  // choice the fullest gets far more than its share and its responses are late.
   std::vector<server_candidate> servers(5, server_candidate{.slots = 64});
   for (std::uint64_t request = 0; request < 60; ++request) {
     const auto chosen =
@@ -30,9 +30,9 @@
 }
 
 TEST(server_choice_test, spreads_prompts_that_come_in_a_clump) {
-  // Three callers send long prompts within a few milliseconds. Read one after
-  // the other by one worker they hold up all its streams for a quarter of a
-  // second, although it has the fewest requests.
+  // Three callers send long prompts within a few milliseconds. If the worker
+  // with the fewest requests gets all of them, they pause all its streams for a
+  // quarter of a second.
   std::vector<server_candidate> servers(3, server_candidate{.slots = 64});
   servers[1].own_requests = 8;
   servers[2].own_requests = 9;
@@ -68,9 +68,9 @@
 }
 
 TEST(server_choice_test, late_requests_leave_room_for_those_in_time) {
-  // A busy model is back after a restart, and a hundred requests wait for it
-  // that are late in any case. All at once they kept its worker reading for two
-  // seconds, and new requests were late as well.
+  // A busy model is loaded again after a restart, and a hundred requests wait
+  // for it that are late already. Sent all at once, their prompts kept its
+  // worker busy for two seconds, and new requests were late as well.
   std::vector<server_candidate> servers{{.slots = 64}};
   int sent = 0;
   for (int request = 0; request < 100; ++request) {
--- a/test/decide-test/silence_watch_test.cpp
+++ b/test/decide-test/silence_watch_test.cpp
@@ -7,10 +7,10 @@
 
 using news = silence_watch::news;
 
-/// A server that a router has requests at, on a clock of the test.
+/// A server with requests of a router, on a simulated clock.
 class watched_server {
  public:
-  /// Sends requests and lets their answers begin, one each 5 ms.
+  /// Sends requests and starts their responses, one every 5 ms.
   void begin_streams(int count) {
     for (int each = 0; each < count; ++each) {
       this->watch.answers().on_sent(500, this->now);
@@ -19,7 +19,7 @@
     }
   }
 
-  /// Lets pieces come, `each` milliseconds apart.
+  /// Receives pieces of data, `each` milliseconds apart.
   void hear(int pieces, int each) {
     for (int piece = 0; piece < pieces; ++piece) {
       this->pass(each);
@@ -37,8 +37,8 @@
 };
 
 TEST(silence_watch_test, many_streams_that_stand_still_are_doubted_soon) {
-  // The busiest model's worker stands still: fifty requests a second are sent
-  // there, and four that lie unread are too many.
+  // The worker of the busiest model, which gets 50 requests per second, stalls.
+  // Even four requests pending at a stalled worker are too many.
   watched_server server;
   server.begin_streams(10);
   server.hear(100, 8);
@@ -48,8 +48,8 @@
 }
 
 TEST(silence_watch_test, one_stream_may_pause_while_a_prompt_is_read) {
-  // A long prompt of another router is read in parts of 70 ms, and an event
-  // holds the tokens of several such steps.
+  // A long prompt of another router is processed in steps of 70 ms, and an
+  // event holds the tokens of several steps.
   watched_server server;
   server.begin_streams(1);
   server.hear(20, 30);
@@ -105,9 +105,9 @@
 }
 
 TEST(silence_watch_test, a_pause_of_the_router_itself_ends_no_doubt) {
-  // A worker's machine stands still and is doubted; then the router is paused,
-  // too. When it woke it took the end of its own pause for a sign of the
-  // worker, and sent further callers to a machine that still stood still.
+  // A worker's machine stalls and is suspected; then the router is paused, too.
+  // When it resumed, it took the end of its own pause for data from the worker
+  // and sent further requests to a machine that was still stalled.
   watched_server server;
   server.begin_streams(5);
   server.pass(500);
@@ -119,8 +119,8 @@
 }
 
 TEST(silence_watch_test, a_caller_that_takes_its_answer_again_ends_no_doubt) {
-  // A slow caller takes more of its answer while the worker stands still: that
-  // is a sign of the caller only.
+  // A slow caller reads more of its response while the worker is stalled; this
+  // shows nothing about the worker.
   watched_server server;
   server.begin_streams(5);
   server.watch.answers().on_held_up();
@@ -145,7 +145,7 @@
   server.watch.answers().on_heard(server.now);
   EXPECT_EQ(server.judge(), news::heard);
   EXPECT_FALSE(server.watch.doubted());
-  // The silence that is over is no measure of the pauses to come.
+  // The stall that has ended doesn't raise the estimate of the usual gap.
   server.pass(125);
   EXPECT_EQ(server.judge(), news::doubted);
 }
@@ -176,7 +176,7 @@
 }
 
 TEST(silence_watch_test, a_question_left_unanswered_counts_for_its_doubt) {
-  // Guards against giving up requests at a server that was heard meanwhile.
+  // Guards against giving up requests at a server that has sent data since.
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
@@ -195,8 +195,8 @@
 }
 
 TEST(silence_watch_test, a_pause_of_the_router_voids_an_unanswered_question) {
-  // Guards against a request that leaves a server whose answer came while the
-  // router was paused and is read next.
+  // Guards against moving a request away from a server whose response arrived
+  // while the router was paused and is about to be read.
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
@@ -210,7 +210,7 @@
 }
 
 TEST(silence_watch_test, a_question_whose_answer_was_missed_tells_nothing) {
-  // Guards against a pause of the router that passes for the server's silence.
+  // Guards against taking a pause of the router for a stall of the server.
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
@@ -223,8 +223,8 @@
 }
 
 TEST(silence_watch_test, one_that_answers_questions_only_is_hardly_used) {
-  // A worker is mute: its status check is good and no request is answered.
-  // Each answered question let it have requests for another while.
+  // A worker's status check succeeds but no request gets a response. Guards
+  // against each successful probe putting it back into use for some time.
   watched_server server;
   server.begin_streams(5);
   int used_ms = 0;
--- a/test/decide-test/silent_wait_test.cpp
+++ b/test/decide-test/silent_wait_test.cpp
@@ -7,14 +7,14 @@
 
 constexpr milliseconds patience{3200};
 
-/// \return The step for a request that was sent just before its server fell
-///     silent.
+/// \return The action for a request that was sent just before its server
+///     stalled.
 silent_wait_step step_after(milliseconds silent) {
   return judge_silent_wait({.silent = silent, .remaining = patience - silent});
 }
 
 TEST(silent_wait_test, a_caller_is_told_before_it_gives_up) {
-  // Guards against callers that wait out their patience on a silent server.
+  // Guards against callers that time out at an unresponsive server.
   for (milliseconds silent{0}; silent < patience; ++silent) {
     if (step_after(silent) == silent_wait_step::give_up) return;
   }
@@ -22,7 +22,7 @@
 }
 
 TEST(silent_wait_test, a_short_silence_costs_no_answer) {
-  // Guards against giving up on a server that goes on within a second.
+  // Guards against giving up on a server that resumes within a second.
   EXPECT_EQ(step_after(milliseconds(1000)), silent_wait_step::wait);
 }
 
@@ -42,7 +42,7 @@
 }
 
 TEST(silent_wait_test, an_answer_that_has_begun_is_not_ended) {
-  // Guards against a stream that is cut though its server goes on.
+  // Guards against cutting off a stream whose server resumes.
   EXPECT_EQ(judge_silent_wait({.silent = patience * 2,
                                .remaining = milliseconds(0),
                                .begun = true}),
--- a/test/decide-test/stop_gate_test.cpp
+++ b/test/decide-test/stop_gate_test.cpp
@@ -14,8 +14,8 @@
 
 TEST(stop_gate_test, refuses_a_late_generation_instead_of_cutting_it) {
   // A router gets SIGTERM while the rest of its zone is busy, and callers still
-  // reach it six seconds later. What it takes then is cut off when it ends;
-  // refused, it is served by another router.
+  // reach it six seconds later. A request accepted then is cut off when the
+  // process ends; a rejected one is served by another router.
   stop_gate gate;
   EXPECT_FALSE(gate.refuses(long_one, begin));
   gate.close(begin, begin + std::chrono::seconds(8));
@@ -24,8 +24,9 @@
 }
 
 TEST(stop_gate_test, serves_what_surely_ends_in_time) {
-  // All routers are stopped one after the other, and for a while all of them
-  // stop at once: a caller that is refused meets only others that refuse.
+  // During a quick succession of router shutdowns all of them shut down at the
+  // same time for some seconds: a rejected caller reaches only other routers
+  // that reject it.
   stop_gate gate;
   gate.close(begin, begin + std::chrono::seconds(8));
   EXPECT_FALSE(gate.refuses(short_one, begin + std::chrono::seconds(5)));
@@ -35,7 +36,8 @@
 }
 
 TEST(stop_gate_test, refuses_what_starts_too_late_though_it_came_in_time) {
-  // Guards against answers that are cut off since their requests have waited.
+  // Guards against responses that are cut off because their requests have
+  // waited for a server.
   stop_gate gate;
   gate.close(begin, begin + std::chrono::seconds(8));
   const auto came = begin + std::chrono::seconds(1);
@@ -45,8 +47,8 @@
 }
 
 TEST(stop_gate_test, takes_nothing_in_the_last_moment) {
-  // A stopping router has nothing open and ends; a request that it read in
-  // between was sent to a worker and cut off 160 ms later.
+  // A router in shutdown has no open request and ends; a request that it read
+  // in between was sent to a worker and cut off 160 ms later.
   stop_gate gate;
   gate.close(begin, begin + std::chrono::seconds(8));
   EXPECT_FALSE(gate.refuses(plain, begin + std::chrono::seconds(5)));
--- a/test/decide-test/unread_limits_test.cpp
+++ b/test/decide-test/unread_limits_test.cpp
@@ -11,8 +11,8 @@
 constexpr int short_prompt = 650;
 constexpr int long_prompt = 17600;
 
-/// The routers of a fleet, each with its own view of the only worker that has a
-/// model; nothing is read there.
+/// The only worker that has a model, as seen by each router of a fleet; it
+/// processes no prompts.
 class stuck_worker {
  public:
   explicit stuck_worker(int routers)
@@ -41,10 +41,10 @@
 };
 
 TEST(unread_limits_test, little_lies_at_a_worker_that_reads_nothing) {
-  // The only worker of the busiest model is held up, and four routers have a
-  // hundred requests for it. Each was sent at once, waited there unread until
-  // its caller left, and was lost when the worker's machine stood still, though
-  // another worker had the model soon after.
+  // The only worker of the busiest model stalls, and four routers have a
+  // hundred requests for it. All were sent at once, waited there until their
+  // callers gave up, and were lost, although another worker had the model soon
+  // after.
   constexpr int routers = 4;
   stuck_worker worker(routers);
   for (int each = 0; each < 100; ++each) {
@@ -55,8 +55,8 @@
 }
 
 TEST(unread_limits_test, nothing_is_sent_behind_a_long_prompt) {
-  // A report is being read for half a second. What its router sends meanwhile
-  // can't begin before it ends, and can't go elsewhere any more.
+  // A worker processes a long prompt for half a second. Requests that its
+  // router sends meanwhile can't start before, nor move to another worker.
   stuck_worker worker(4);
   EXPECT_TRUE(worker.send(0, long_prompt));
   EXPECT_FALSE(worker.send(0, short_prompt));
--- a/test/decide-test/view_filter_test.cpp
+++ b/test/decide-test/view_filter_test.cpp
@@ -15,7 +15,8 @@
 }
 
 TEST(view_filter_test, a_busy_fleet_tells_a_fraction_of_its_changes) {
-  // Requests come and go at a worker, one at a time, around a steady load.
+  // The number of requests at a worker varies in steps of one around a steady
+  // load.
   int told = 10;
   int news = 0;
   int requests = 10;
--- a/test/decide-test/wait_limit_test.cpp
+++ b/test/decide-test/wait_limit_test.cpp
@@ -12,8 +12,8 @@
                      .gap_objective = milliseconds(250)};
 
 TEST(wait_limit_test, refuses_at_once_what_its_caller_will_not_wait_for) {
-  // Demand moves to a model without a copy at hand: its load takes six
-  // seconds, and callers leave after two. Held they all get nothing.
+  // Demand moves to a model that is not loaded: loading takes six seconds, and
+  // callers give up after two. If their requests are held, all of them fail.
   auto waiting = chat;
   waiting.ready_in = milliseconds(6000);
   EXPECT_EQ(refuse_waiting_now(waiting), milliseconds(6100));
@@ -22,8 +22,8 @@
 }
 
 TEST(wait_limit_test, refuses_at_once_where_no_server_is_left) {
-  // The last server of a service crashes and is taken off the list. Callers
-  // were held until their limit passed, and had no time left to come back.
+  // The last server of a service crashes and is removed from the list. Requests
+  // were held until their deadline, which left callers no time to retry.
   auto waiting = chat;
   waiting.stream = false;
   waiting.waited = milliseconds(0);
--- a/test/decide-test/worker_orders_test.cpp
+++ b/test/decide-test/worker_orders_test.cpp
@@ -48,16 +48,17 @@
 }
 
 TEST(next_order_test, orders_nothing_beyond_memory_whatever_the_target_asks) {
-  // A planner with an old view asks for four models where three fit. A worker
-  // that is ordered to load more than it holds crashes, with all its runs.
+  // A planner with an outdated view wants four models where three fit. A worker
+  // that is ordered to load more than it can hold crashes, and all its requests
+  // are lost.
   const residency_target target{.models = {"a", "b", "c", "d"}};
   EXPECT_EQ(next_order(holding({"a", "b", "c"}, 0), {}, target, three_places()),
             std::nullopt);
 }
 
 TEST(next_order_test, orders_nothing_while_a_model_is_on_its_way) {
-  // The report names a model only when it is loaded: an adapter ordered
-  // meanwhile would take its memory, and the worker refuses it anyway.
+  // The report names a model only once it is loaded: an adapter ordered
+  // meanwhile would take its memory, and the worker would reject it anyway.
   auto report = holding({"a", "b"}, 0);
   const residency_target target{.models = {"a", "b", "c"}, .adapters = {"a/x"}};
   EXPECT_EQ(next_order(report, "c", target, three_places()), std::nullopt);
@@ -126,9 +127,9 @@
 }
 
 TEST(worker_orders_test, a_lost_order_that_comes_late_overcommits_nothing) {
-  // The answer to "load a" is lost and the planner wants b meanwhile. Both
-  // orders expect sequence 3, so the worker carries out only one of them; after
-  // the late one, the agent sees the worker busy with it and orders nothing.
+  // The response to "load a" is lost, and then the planner wants b. Both orders
+  // expect sequence 3, so the worker executes only one of them. If it is the
+  // late one, the agent sees the worker busy with it and orders nothing.
   auto orders = ready_orders();
   orders.on_report(holding({"c", "d"}, 3), now);
   orders.set_target("i-1", {.models = {"c", "d", "a"}});
@@ -176,9 +177,9 @@
 }
 
 TEST(worker_orders_test, goes_on_after_a_restart_that_nobody_saw) {
-  // The worker accepts a load, crashes and starts again with its counts anew
-  // before the next report. The agent waited for the load's number for ever and
-  // ordered nothing more.
+  // The worker accepts a load, crashes and restarts with its sequence number
+  // reset before the next report. The agent waited forever for the load's
+  // sequence number and issued no more orders.
   auto orders = ready_orders();
   orders.set_target("i-1@5", {.models = {"a"}}, 5);
   orders.on_report(born_at(5, 0), now);
@@ -194,8 +195,8 @@
 }
 
 TEST(worker_orders_test, a_restart_shows_though_the_count_has_grown) {
-  // The new lifetime has taken as many orders as the old one. Only its start
-  // tells them apart, whether that lies before or after the old one's.
+  // The new incarnation has accepted as many orders as the old one. Only the
+  // start times differ; the new one may be earlier or later.
   for (const std::int64_t later : {4, 6}) {
     auto orders = ready_orders();
     orders.set_target("i-1", {.models = {"a"}}, 5);
@@ -211,8 +212,8 @@
 }
 
 TEST(worker_orders_test, orders_nothing_that_was_decided_for_another_lifetime) {
-  // The planner's target is of before the restart, when the worker held two
-  // models; the worker's id is the same, so it would take the order.
+  // The planner's target dates from before the restart, when the worker held
+  // two models. The worker's id is unchanged, so it would accept the order.
   auto orders = ready_orders();
   orders.set_target("i-1", {.models = {"a"}}, 5);
   orders.on_report(born_at(6, 0), now);
@@ -222,10 +223,10 @@
 }
 
 TEST(worker_orders_test, keeps_room_for_a_late_order_of_before_a_restart) {
-  // A load gets no answer, and the worker starts again under its id. Its count
-  // comes by the number that the order expects, the order arrives, and a worker
-  // that was filled meanwhile is ordered to load more than it holds: it
-  // crashes.
+  // A load order gets no response, and the worker restarts with the same id.
+  // When its sequence number reaches the one that the order expects, the order
+  // arrives. If the worker has been filled meanwhile, it has to load more than
+  // it can hold and crashes.
   auto orders = ready_orders();
   orders.set_target("i-1", {.models = {"a"}}, 5);
   orders.on_report(born_at(5, 2), now);
