--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -6,10 +6,10 @@
 
 admission_verdict admission::decide(const attempt_offer& offer,
                                     result_code target, time_point now) {
-  // A permit of an earlier start of this agent shows as a fencing number that
-  // is not ours; what ran there is not remembered here. It is refused as not
-  // run, since an attempt is sent once and on a connection of its own: the one
-  // that arrived here reached no earlier start.
+  // A different fencing number belongs to a permit of an earlier incarnation,
+  // whose attempts are not known here. The attempt is still refused as not run:
+  // an attempt is sent once, on a connection of its own, so one that arrived
+  // here did not reach an earlier incarnation.
   if (this->own_fence == 0 || offer.fence != this->own_fence) {
     return {.code = result_code::wrong_incarnation};
   }
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -15,66 +15,72 @@
 /// An attempt that a router asks an agent to run.
 struct attempt_offer {
   attempt_id id;
-  /// The agent's fencing number in the permit.
+  /// The agent's fencing number as stated in the permit.
   std::uint64_t fence = 0;
-  /// On the agent's clock.
+  /// End of the permit on the agent's clock.
   time_point permit_end{};
-  /// Runs only with nothing beside it; see `admission`.
+  /// True if it must run with no other attempt in flight; see `admission`.
   bool exclusive = false;
 
   bool operator==(const attempt_offer&) const = default;
 };
 
-/// Decides which offered attempts run; the only keeper of the slots.
+/// Decides at an agent which offered attempts run, and owns its slots.
 ///
 /// A request that was in flight when a backend server crashed is offered as
-/// exclusive: it runs with nothing beside it, whichever homes the others come
-/// from, so that another crash names just the one that caused it. While one
-/// waits for the running ones to end, no other begins for `exclusive_hold`.
+/// exclusive. It runs with no other attempt in flight, so that another crash
+/// identifies its cause, even if the attempts come from different homes. When
+/// an exclusive attempt is rejected because others run, no other attempt starts
+/// for `exclusive_reservation`.
 class admission {
  public:
   explicit admission(attempt_memory_settings settings);
 
-  /// Takes the fencing number of this start; offers of others are refused.
+  /// Sets the fencing number of this incarnation. Offers with a different one
+  /// are refused.
   void take_fence(std::uint64_t fence) { this->own_fence = fence; }
-  /// Sets how many attempts may run at once.
+  /// Sets the number of attempts that may run concurrently.
   void set_slots(std::uint32_t slots) { this->slot_count = slots; }
   /// Refuses every offer from now on.
   void drain() { this->is_draining = true; }
 
-  /// Decides on an offer and notes it as running if it is admitted.
+  /// Decides on an offer and records it as running if it is admitted.
   ///
   /// \param offer The attempt.
-  /// \param target ok if the model or service can run it now, else why not.
-  /// \param now The time.
-  /// \return The verdict: wrong_incarnation, draining, server_busy, the
-  ///   target's code, or one of `attempt_memory::check`.
+  /// \param target ok if the model or service can run it now, else the reason.
+  /// \param now The current time.
+  /// \return ok, wrong_incarnation, draining, server_busy, the target's code or
+  ///   a code of `attempt_registry::check`.
   admission_verdict decide(const attempt_offer& offer, result_code target,
                            time_point now);
 
-  /// Notes the end of an admitted attempt; others are ignored.
+  /// Records the end of an admitted attempt; other ids are ignored.
+  ///
+  /// \param whole True if the backend server sent the complete response.
   void end(const attempt_id& id, bool whole);
 
-  /// Answers a question about an attempt, changing nothing.
+  /// Returns the state of an attempt; `forgotten` if it was offered with
+  /// another incarnation's fencing number.
   attempt_state state_of(const attempt_offer& asked) const;
 
-  /// Keeps an attempt not yet seen from running, if it is this start's.
+  /// Prevents an attempt that was not seen yet from running, if it carries this
+  /// incarnation's fencing number.
   attempt_state tombstone(const attempt_offer& asked, time_point now);
 
-  /// Forgets what is older than the retention time.
+  /// Removes the attempts that are past their retention time.
   void tick(time_point now) { this->memory.tick(now); }
 
-  /// Returns how many attempts run now.
+  /// Returns the number of running attempts.
   std::uint32_t running() const { return this->running_count; }
-  /// Returns how many may run at once.
+  /// Returns the number of attempts that may run concurrently.
   std::uint32_t slots() const { return this->slot_count; }
-  /// Returns whether every offer is refused.
+  /// Returns true if every offer is refused.
   bool draining() const { return this->is_draining; }
-  /// Returns how many ids are remembered.
+  /// Returns the number of attempts in the registry.
   std::size_t remembered() const { return this->memory.size(); }
 
-  /// How long others are kept out for an exclusive attempt that was turned
-  /// away; its router comes back well within that.
+  /// How long no other attempt starts after an exclusive one was rejected as
+  /// busy. Its router retries well within this time.
   static constexpr milliseconds exclusive_hold{1500};
 
  private:
--- a/src/decide/attempt_memory.cpp
+++ b/src/decide/attempt_memory.cpp
@@ -68,7 +68,7 @@
   const attempt_state known = this->state_of(id, permit_end);
   if (known != attempt_state::never_ran) return known;
   if (this->entries.contains(id)) return known;
-  // An id whose permit has ended cannot run any more; it needs no tombstone.
+  // An attempt whose permit has ended can't run and needs no tombstone.
   if (permit_end <= now) return attempt_state::never_ran;
   if (permit_end > now + this->settings.longest_permit) {
     return attempt_state::forgotten;
@@ -88,8 +88,8 @@
 
 bool attempt_memory::has_room(time_point now) const {
   if (this->entries.size() < this->settings.most) return true;
-  // Only an id whose permit has ended may be forgotten early: forgetting one
-  // that may still arrive would let it run a second time.
+  // Only an id whose permit has ended may be evicted early: a copy of any
+  // other could still arrive and run a second time.
   return !this->at_rest.empty() && this->at_rest.begin()->first <= now;
 }
 
--- a/src/decide/attempt_memory.hpp
+++ b/src/decide/attempt_memory.hpp
@@ -15,72 +15,74 @@
 
 namespace boragehill::decide {
 
-/// What an agent knows of an attempt id.
+/// What an agent knows about an attempt id.
 using attempt_state = wire::attempt_status;
 
-/// An answer to an offered attempt.
+/// The decision whether an offered attempt may run.
 struct admission_verdict {
-  /// ok if it is to run now.
+  /// ok if the attempt runs now.
   result_code code = result_code::ok;
-  /// For a refusal: whether the attempt's id ran, as far as is known.
+  /// For a refusal: whether an attempt with this id ran, as far as is known.
   ran_state ran = ran_state::no;
 
   bool operator==(const admission_verdict&) const = default;
 };
 
-/// How long and how many attempts are remembered.
+/// Bounds of `attempt_registry`.
 struct attempt_memory_settings {
-  /// Counted from the end of the attempt's permit.
+  /// How long an attempt is kept, counted from the end of its permit.
   milliseconds retention{60000};
   std::size_t most = 65536;
-  /// Permits that end further ahead are not believed.
+  /// Attempts whose permit ends further in the future are refused.
   milliseconds longest_permit{600000};
 
   bool operator==(const attempt_memory_settings&) const = default;
 };
 
-/// Runs each attempt id at most once and remembers the ended ones.
+/// Lets each attempt id run at most once and keeps the ended ones.
 ///
-/// Every id whose permit ends after `horizon()` and was ever seen is still in
-/// the memory. So an id that is not there either never ran (its permit ends
-/// after the horizon) or is forgotten. The horizon never passes the present,
-/// thus no id can be forgotten while its permit still lets it run.
+/// Each id that was seen and whose permit ends after `retention_horizon()` is
+/// still stored. So an id that isn't stored either never ran (its permit ends
+/// after the horizon) or was evicted. The horizon is never in the future, so no
+/// id is evicted while its permit still lets it run.
 class attempt_memory {
  public:
   explicit attempt_memory(attempt_memory_settings settings);
 
-  /// Looks whether an attempt may begin, changing nothing.
+  /// Returns whether an attempt may begin, without recording it.
   ///
-  /// \return ok, attempt_seen, attempt_tombstoned, permit_ended or server_busy
-  ///   (the memory is full of attempts whose permits still run).
+  /// \return ok, attempt_seen, attempt_tombstoned, permit_ended, bad_header
+  /// (the
+  ///   permit ends too far in the future) or server_busy (the registry is full
+  ///   of attempts that run or whose permits haven't ended).
   admission_verdict check(const attempt_id& id, time_point permit_end,
                           time_point now) const;
 
-  /// Notes that an attempt runs from now on, if `check` allows it.
+  /// Records that an attempt runs from now on, if `check` allows it.
   admission_verdict begin(const attempt_id& id, time_point permit_end,
                           time_point now);
 
-  /// Notes the end of a running attempt; others are ignored.
+  /// Records the end of a running attempt; other ids are ignored.
   ///
-  /// \param whole Whether the whole answer left the backend server.
+  /// \param whole True if the backend server sent the complete response.
   void end(const attempt_id& id, bool whole);
 
-  /// Returns what is known, changing nothing. `never_ran` is only true of the
-  /// moment; `tombstone` makes it last.
+  /// Returns the state of an attempt. `never_ran` holds only at the moment of
+  /// the call; `tombstone` makes it permanent.
   attempt_state state_of(const attempt_id& id, time_point permit_end) const;
 
-  /// Keeps an attempt not yet seen from ever running.
+  /// Prevents an attempt that was not seen yet from ever running.
   ///
-  /// \return What is known of it; never_ran only if it is tombstoned now.
+  /// \return Its state; never_ran only if it can't run any more.
   attempt_state tombstone(const attempt_id& id, time_point permit_end,
                           time_point now);
 
-  /// Forgets what is older than the retention time.
+  /// Removes the ids that are past their retention time.
   void tick(time_point now);
 
-  /// Returns the permit end up to which ids may have been forgotten.
+  /// Returns the permit end up to which ids may have been evicted.
   time_point horizon() const { return this->forgotten_to; }
-  /// Returns how many ids are remembered.
+  /// Returns the number of stored ids.
   std::size_t size() const { return this->entries.size(); }
 
  private:
@@ -97,7 +99,7 @@
   attempt_memory_settings settings;
   time_point forgotten_to = time_point::min();
   std::unordered_map<attempt_id, entry> entries;
-  /// Ids that do not run, by the end of their permits.
+  /// Ids that aren't running, ordered by the end of their permits.
   std::set<std::pair<time_point, attempt_id>> at_rest;
 };
 
--- a/src/decide/attempt_result.hpp
+++ b/src/decide/attempt_result.hpp
@@ -5,27 +5,27 @@
 
 namespace boragehill::decide {
 
-/// How a dispatch ended, as far as its sender can tell.
+/// How a dispatched attempt ended, as observed by the router that sent it.
 enum class attempt_ending {
-  /// The end frame's length and checksum match what arrived.
+  /// The end frame's length and checksum match the received response.
   whole,
-  /// The agent said that it did not and will not run it.
+  /// The agent stated that it has not run the attempt and won't.
   refused,
-  /// The connection was never made: the agent has not seen it.
+  /// The connection wasn't established: the agent has not seen the attempt.
   never_sent,
-  /// It was sent, and the answer is not whole.
+  /// The attempt was sent, and the response is incomplete.
   broken,
-  /// The caller hung up.
+  /// The caller disconnected.
   caller_gone,
 };
 
-/// The result of one dispatch.
+/// The result of one dispatched attempt.
 struct attempt_result {
   attempt_ending ending = attempt_ending::broken;
   result_code code = result_code::ok;
-  /// Part of the answer already went to the caller.
+  /// Part of the response was already sent to the caller.
   bool passed_on = false;
-  /// The agent itself reported that its backend server went down.
+  /// The agent reported that its backend server went down.
   bool crashed = false;
 
   bool operator==(const attempt_result&) const = default;
--- a/src/decide/backoff.hpp
+++ b/src/decide/backoff.hpp
@@ -8,11 +8,11 @@
 namespace boragehill::decide {
 
 /// Returns how long to wait before a retry: exponential backoff with full
-/// jitter, so that callers that failed together don't come back together.
+/// jitter, so that requests that failed together aren't retried together.
 ///
 /// \param attempt The retry's number, from 0.
-/// \param base The bound of the first wait.
-/// \param cap The bound of every wait.
+/// \param base Upper bound of the first wait.
+/// \param cap Upper bound of each wait.
 /// \param random_bits Uniformly distributed bits.
 /// \return A time from 0 to min(cap, base * 2^attempt), both included.
 milliseconds backoff(std::uint32_t attempt, milliseconds base, milliseconds cap,
--- a/src/decide/crash_tally.cpp
+++ b/src/decide/crash_tally.cpp
@@ -48,7 +48,8 @@
   std::erase_if(this->entries, [now](const auto& each) {
     return now - each.second.at > keep;
   });
-  // One strike most likely befell an innocent request; the oldest goes first.
+  // A request with few crashes is most likely harmless, so it is evicted first;
+  // of equal counts the oldest.
   while (this->entries.size() > this->most) {
     this->entries.erase(std::min_element(
         this->entries.begin(), this->entries.end(),
--- a/src/decide/crash_tally.hpp
+++ b/src/decide/crash_tally.hpp
@@ -10,35 +10,38 @@
 
 namespace boragehill::decide {
 
-/// Strikes against requests that crash backend servers, a bounded number of
-/// them: a router's own, or the planner's sum of all routers'. See
-/// `crash_watch`.
+/// Counts interrupted runs per request and quarantines a request at
+/// `crash_limit`. A router counts its own, the planner those of all routers;
+/// see `crash_tracker`. `crash_attribution` instead isolates implicated
+/// requests.
 class crash_tally {
  public:
-  /// Strikes that convict. Two may befall an innocent request that is sent
-  /// again while a failure domain goes down.
+  /// Crashes after which a request is quarantined. A harmless request can be in
+  /// flight at two if it is retried while a failure domain goes down.
   static constexpr int limit = 3;
-  /// How long strikes and convictions count. What crashed may have been mended
-  /// since; one crash in ten minutes is borne.
+  /// How long crashes and quarantines count. The fault may have been fixed
+  /// since then, and one crash in ten minutes is tolerated.
   static constexpr milliseconds keep{600000};
 
-  /// \param most Requests remembered; convicted ones stay longest.
+  /// \param most Maximum number of stored requests; quarantined ones are
+  /// evicted
+  ///   last.
   explicit crash_tally(std::size_t most) : most(most) {}
 
-  /// A run of that request broke off.
-  /// \return True if that convicts it.
+  /// Records that a run of the request was interrupted.
+  /// \return True if the request is quarantined by this crash.
   bool on_strike(const std::string& fingerprint, time_point now);
 
-  /// It is known to be guilty. A conviction that stands isn't renewed: told
-  /// again by each new planner, it must end some day all the same.
+  /// Quarantines a request. An existing quarantine isn't renewed, so that it
+  /// expires although each new planner reports it again.
   void convict(const std::string& fingerprint, time_point now);
 
-  /// It is known to be innocent.
+  /// Removes a request that is known to be harmless.
   void forget(const std::string& fingerprint);
 
   bool is_convicted(const std::string& fingerprint, time_point now) const;
 
-  /// \return All that are convicted.
+  /// \return The fingerprints of all quarantined requests.
   std::vector<std::string> convicted(time_point now) const;
 
  private:
--- a/src/decide/crash_watch.cpp
+++ b/src/decide/crash_watch.cpp
@@ -7,7 +7,7 @@
 void crash_watch::on_broken(const std::string& fingerprint, time_point now) {
   if (this->answered.contains(fingerprint)) return;
   this->struck.on_strike(fingerprint, now);
-  // Without a planner nobody takes them.
+  // Bounded, since nothing takes the reports while there is no planner.
   if (this->untold.size() < most_struck) this->untold.push_back(fingerprint);
 }
 
@@ -35,8 +35,8 @@
 }
 
 void crash_watch::tell_again(time_point now) {
-  // Single strikes aren't: told once for each broken link, they would add up
-  // to a conviction.
+  // Crashes below the limit aren't reported again: repeated with each lost
+  // connection to the planner, they would add up to a quarantine.
   for (const auto& fingerprint : this->struck.convicted(now)) {
     this->untold.insert(this->untold.end(),
                         static_cast<std::size_t>(crash_tally::limit),
--- a/src/decide/crash_watch.hpp
+++ b/src/decide/crash_watch.hpp
@@ -13,42 +13,44 @@
 
 namespace boragehill::decide {
 
-/// What one router knows of requests that crash backend servers.
+/// One router's view of requests that crash backend servers.
 ///
-/// The load it answers: a caller sends the same request again and again, at any
-/// router, and each server that begins to run it goes down with all that runs
-/// there. Each of its runs is a strike; the planner sums the strikes of all
-/// routers up and tells them whom to refuse.
+/// Without it, a caller that retries such a request at any router takes down
+/// one server after the other. Each interrupted run counts as a crash; the
+/// planner adds up the crashes of all routers and reports which requests to
+/// refuse.
 ///
-/// An innocent request is struck, too: it was in flight at a server that
-/// crashed, or its connection was cut. Any whole answer to the same request
-/// that this router has seen lately acquits it here, whatever the others say:
-/// many callers' requests are alike to the letter, and to refuse them all for
-/// three cut connections would be worse than a crash.
+/// A harmless request is counted too if it was in flight at a crash or if its
+/// connection was cut. A recent complete response to the same request clears it
+/// at this router, whatever the planner reports: many callers send identical
+/// requests, and refusing all of them after three cut connections would be
+/// worse than a crash.
 class crash_watch {
  public:
-  /// Answered requests remembered; at ten a second a router, some minutes.
+  /// Completed requests stored; at ten per second and router, about 200 s.
   static constexpr std::size_t most_answered = 2048;
-  /// Struck or convicted requests remembered.
+  /// Implicated or quarantined requests stored.
   static constexpr std::size_t most_struck = 256;
 
-  /// A run broke off without an answer's end.
+  /// Records a run that was interrupted before the end of its response.
   void on_broken(const std::string& fingerprint, time_point now);
 
-  /// A run ended with a whole answer.
+  /// Records a run with a complete response.
   void on_answered(const std::string& fingerprint);
 
-  /// The planner convicted a request, by the strikes of all routers.
+  /// Records that the planner quarantined a request, by the crashes of all
+  /// routers.
   void on_convicted(const std::string& fingerprint, time_point now);
 
   /// \return True if the request must not run again.
   bool is_convicted(const std::string& fingerprint, time_point now) const;
 
-  /// \return The strikes since the last call, for the planner.
+  /// \return The fingerprints of the crashes since the last call, one entry per
+  ///   crash, to be sent to the planner.
   std::vector<std::string> take_strikes();
 
-  /// A new planner knows nothing: the strikes of all convicted requests are
-  /// told again.
+  /// Reports the crashes of all quarantined requests once more, for a new
+  /// planner, which has no counts.
   void tell_again(time_point now);
 
  private:
--- a/src/decide/flow_limits.hpp
+++ b/src/decide/flow_limits.hpp
@@ -8,22 +8,24 @@
 
 namespace boragehill::decide {
 
-/// The limits of one request's flow.
+/// Limits of one request at its entry router, see `request_flow`.
 struct flow_limits {
-  /// Attempts for one request, the first included; those that their agent
-  /// refused as busy, or for a like reason, are not counted.
+  /// Maximum number of attempts, including the first. Transient refusals by an
+  /// agent, such as `server_busy`, aren't counted.
   std::uint32_t max_attempts = 8;
-  /// Homes asked in turn before the request is refused.
+  /// Homes tried in turn before the request is refused.
   std::size_t max_homes = 3;
-  /// How often an agent that does not answer is asked about an attempt.
+  /// Maximum number of status queries for an attempt whose agent does not
+  /// respond.
   std::uint32_t max_fate_asks = 3;
-  /// How long one question to an agent may take; none is asked that could end
-  /// after the deadline.
+  /// Time limit of one status query to an agent. No query is sent that could
+  /// end after the deadline.
   milliseconds fate_time{500};
-  /// Backoff between attempts, before jitter, doubling up to the cap.
+  /// Bound of the first backoff between attempts, before jitter; it doubles
+  /// with each attempt up to the cap.
   milliseconds backoff_base{20};
   milliseconds backoff_cap{1000};
-  /// When to come back after a refusal that names no better time.
+  /// Retry-after period of refusals that have no period of their own.
   milliseconds default_retry_after{1000};
 
   bool operator==(const flow_limits&) const = default;
--- a/src/decide/flow_request.hpp
+++ b/src/decide/flow_request.hpp
@@ -9,9 +9,9 @@
 
 namespace boragehill::decide {
 
-/// What the decisions about one accepted request need to know of it.
+/// The facts about one accepted request that `request_flow` decides on.
 struct flow_request {
-  /// The entry router's process and the request's number there.
+  /// The entry router's incarnation; the request's number there follows.
   std::string incarnation;
   std::uint64_t sequence = 0;
   /// The entry router's control endpoint.
@@ -22,7 +22,8 @@
   std::string fingerprint;
   std::int64_t priority = 0;
   bool non_idempotent = false;
-  /// Non-idempotent with a key: claimed in the table before each dispatch.
+  /// True for a non-idempotent request with an idempotency key: a claim is
+  /// written to the table before each dispatch.
   bool keyed = false;
   time_point deadline;
 
--- a/src/decide/flow_step.hpp
+++ b/src/decide/flow_step.hpp
@@ -13,7 +13,7 @@
 
 namespace boragehill::decide {
 
-/// Ask the home of this rank (0 is the first) for a permit.
+/// Request a permit from the home of this rank; 0 is the first.
 struct ask_home {
   std::size_t rank = 0;
   wire::permit_request ask;
@@ -21,7 +21,7 @@
   bool operator==(const ask_home&) const = default;
 };
 
-/// Wait for the home's word on a queued attempt.
+/// Wait for the home to grant or refuse a queued attempt.
 struct await_permit {
   attempt_id attempt;
   std::size_t rank = 0;
@@ -30,7 +30,8 @@
   bool operator==(const await_permit&) const = default;
 };
 
-/// Write down, in the table, which attempt and agent the key's run goes to.
+/// Write the idempotency claim to the table: the attempt and the agent that
+/// run the request of this key.
 struct write_claim {
   attempt_id attempt;
   wire::permit_answer permit;
@@ -38,7 +39,7 @@
   bool operator==(const write_claim&) const = default;
 };
 
-/// Send the attempt to the agent, once.
+/// Send the attempt to the agent, exactly once.
 struct dispatch {
   attempt_id attempt;
   wire::permit_answer permit;
@@ -46,8 +47,8 @@
   bool operator==(const dispatch&) const = default;
 };
 
-/// Ask the agent what became of an attempt, and keep it from running if it was
-/// not seen.
+/// Query the agent for the status of an attempt. An attempt that it has not
+/// seen is tombstoned, so that it can't run later.
 struct ask_fate {
   attempt_id attempt;
   wire::permit_answer permit;
@@ -55,7 +56,7 @@
   bool operator==(const ask_fate&) const = default;
 };
 
-/// Fetch the answer that the agent kept of an ended attempt.
+/// Fetch the response that the agent stored for a completed attempt.
 struct fetch_kept {
   attempt_id attempt;
   wire::permit_answer permit;
@@ -63,26 +64,26 @@
   bool operator==(const fetch_kept&) const = default;
 };
 
-/// Wait, then call `on_pause_over`.
+/// Wait until the given time, then call `request_flow::on_pause_over`.
 struct pause_until {
   time_point until;
 
   bool operator==(const pause_until&) const = default;
 };
 
-/// Final: the whole answer went, or may now go, to the caller.
+/// Final: the complete response was sent to the caller, or may be sent now.
 struct delivered {
   bool operator==(const delivered&) const = default;
 };
 
-/// Final: the caller gets this refusal at once.
+/// Final: the refusal is sent to the caller immediately.
 struct give_up {
   refusal answer;
 
   bool operator==(const give_up&) const = default;
 };
 
-/// What the flow of a request wants done next; just one thing at a time.
+/// The next step of a request. There is exactly one at a time.
 using flow_step =
     std::variant<ask_home, await_permit, write_claim, dispatch, ask_fate,
                  fetch_kept, pause_until, delivered, give_up>;
--- a/src/decide/once_claim.cpp
+++ b/src/decide/once_claim.cpp
@@ -11,9 +11,8 @@
 }
 
 claim_step judge_agent_answer(std::optional<wire::attempt_status> status) {
-  // An agent that does not answer may have run the attempt, however it went
-  // away; a second attempt could be a second order. So silence is never taken
-  // for "not run".
+  // An agent that does not respond may have run the attempt, whatever the cause
+  // of its loss. A second attempt could run the request twice.
   if (!status) return outcome_is_unknown{};
   switch (*status) {
     case wire::attempt_status::never_ran:
--- a/src/decide/once_claim.hpp
+++ b/src/decide/once_claim.hpp
@@ -11,21 +11,21 @@
 
 namespace boragehill::decide {
 
-/// Returns what to do with a non-idempotent request.
+/// Returns the next step for a non-idempotent request with a key.
 ///
-/// \param row The row of its key; nothing if there is none.
-/// \param digest The digest of the request just received.
+/// \param row The idempotency record of its key; nothing if there is none.
+/// \param digest The digest of the received request.
 resend_step judge_resend(const std::optional<once_row>& row,
                          std::string_view digest);
 
-/// Returns what to do once the claim's agent was asked.
+/// Returns the next step after the agent that holds the claim was queried.
 ///
-/// \param status The answer to `agent.tombstone` for the claim's attempt;
-///   nothing if the agent is gone or did not answer.
+/// \param status The response to `agent.tombstone` for the claim's attempt;
+///   nothing if the agent is lost or did not respond.
 claim_step judge_agent_answer(std::optional<wire::attempt_status> status);
 
-/// Returns true if the row read back shows that a claim whose write was not
-/// answered took effect.
+/// Returns true if the record was claimed by the given attempt. Used to read
+/// back whether a write took effect whose response was lost.
 bool is_claimed_by(const std::optional<once_row>& row,
                    std::string_view attempt);
 
--- a/src/decide/once_claim_row.hpp
+++ b/src/decide/once_claim_row.hpp
@@ -8,34 +8,34 @@
 
 namespace boragehill::decide {
 
-/// How far a non-idempotent request came.
+/// Progress of a non-idempotent request. The values are stored.
 enum class once_state { claimed = 0, ended = 1 };
 
-/// The row `once/<service>/<key>` of a non-idempotent request: which attempt
-/// may run it and, once it ended, its answer.
+/// The table row `once/<service>/<key>` of a non-idempotent request: the
+/// attempt that may run it and, once that completed, its response.
 struct once_row {
-  /// The digest of the request that came with the key.
+  /// The digest of the first request received with the key.
   std::string digest;
-  /// The one attempt that may run.
+  /// The only attempt that may run.
   std::string attempt;
   std::string server;
-  /// The control protocol of that server's agent.
+  /// The control endpoint of that server's agent.
   endpoint control;
-  /// The data protocol there, which hands kept answers over.
+  /// The data endpoint of that agent, which serves stored responses.
   endpoint data;
   /// The agent's fencing number in the attempt's permit.
   std::uint64_t fence = 0;
-  /// The permit's end on the agent's clock.
+  /// The permit's end on the agent's clock, in ms.
   std::int64_t permit_end_ms = 0;
   once_state state = once_state::claimed;
-  /// The HTTP status of the answer; set once ended.
+  /// The HTTP status of the response; set once completed.
   std::int32_t status = 0;
   std::string content_type;
-  /// The answer's bytes, if they are few and valid UTF-8.
+  /// The response body, if it is small and valid UTF-8.
   std::string answer;
-  /// The object that holds the answer otherwise.
+  /// The name of the object that holds the response body otherwise.
   std::string object;
-  /// Wall-clock time of the write, for removing old rows only.
+  /// Wall-clock time of the write in ms, used only to remove old rows.
   std::int64_t written_at_ms = 0;
 
   bool operator==(const once_row&) const = default;
--- a/src/decide/request_flow.cpp
+++ b/src/decide/request_flow.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Refusals by an agent that say nothing against the server itself: the same
-/// one may be right a moment later.
+/// Returns true for refusals after which the same server may accept the request
+/// a moment later, so it isn't excluded from further attempts.
 bool passes_soon(result_code code) {
   return code == result_code::server_busy ||
          code == result_code::model_not_ready ||
@@ -61,8 +61,8 @@
                         "no home of " + this->request.target + " answers");
   }
   ++this->rank;
-  // A new number, so that a permit that the lost home gave for the old one
-  // can never be used beside the next home's.
+  // A new attempt number, so that a permit from the lost home can't be used
+  // in addition to the next home's and run the request twice.
   ++this->current.number;
   return this->ask(now);
 }
@@ -70,9 +70,9 @@
 flow_step request_flow::on_claim(result_code code, time_point now) {
   if (now >= this->request.deadline) return this->out_of_time(now);
   if (code == result_code::ok) return dispatch{this->current, this->permit};
-  // Nothing was dispatched under this permit, and without the claim nothing
-  // may be: a resend at another router could not see it. Where another router
-  // holds the claim, the same key may run there.
+  // Without a claim nothing may be dispatched: another router that receives a
+  // retry with the same key would not see this run. On a write conflict another
+  // router holds the claim, and the request may run there.
   if (code == result_code::platform_conflict) this->may_have_run = true;
   return this->refuse(code, this->limits.default_retry_after,
                       "the run could not be written down");
@@ -86,9 +86,9 @@
     case attempt_ending::refused:
       return this->on_refused(result.code, now);
     case attempt_ending::never_sent:
-      // The home leaves the server alone for a while. Excluded for good, the
-      // only server of a model would be out of this request's reach after one
-      // connection that was not taken in time.
+      // The home avoids the server for a limited time. It isn't excluded here:
+      // one connection that was not accepted in time would exclude the only
+      // server of a model for the rest of this request.
       return this->retry(true, result.code, now);
     case attempt_ending::caller_gone:
       this->may_have_run = true;
@@ -121,8 +121,8 @@
       return this->refuse(result_code::outcome_unknown, milliseconds{0},
                           "its backend server went down while running it");
     }
-    // The final answer is due by the deadline, and a frozen agent answers no
-    // question before it is thawed.
+    // The caller must get the final response by its deadline, and a paused
+    // agent responds to no query until it continues.
     if (now + this->limits.fate_time > this->request.deadline) {
       this->may_have_run = true;
       return this->refuse(result_code::outcome_unknown, milliseconds{0},
@@ -219,10 +219,10 @@
 }
 
 flow_step request_flow::retry(bool charged, result_code code, time_point now) {
-  // A refusal that passes soon counts as no attempt: a server that other homes
-  // fill too may refuse one request many times within its deadline, and only
-  // the backoff and the deadline bound that. Seen as `server_busy` given to a
-  // caller with most of its time left.
+  // A transient refusal isn't counted: a server that other homes also use may
+  // refuse one request many times within its deadline, which only the backoff
+  // and the deadline bound. When they were counted, callers got `server_busy`
+  // with most of their time left.
   if (charged) ++this->failures;
   if (this->failures >= this->limits.max_attempts) {
     return this->refuse(code, this->limits.default_retry_after,
--- a/src/decide/request_flow.hpp
+++ b/src/decide/request_flow.hpp
@@ -18,57 +18,62 @@
 
 namespace boragehill::decide {
 
-/// The life of one request at its entry router, as a pure state machine.
+/// State machine of one request at its entry router; it does no I/O.
 ///
-/// Each call takes what happened and returns the one thing to do next, until a
-/// final step. It alone decides what is retried, and whether a refusal may say
-/// that the request was not run: only if every attempt was never sent, was
-/// refused by its agent, or is tombstoned there.
+/// Each call takes an event and returns the single next step, until a final
+/// one. This class alone decides what is retried and whether a refusal may
+/// state that the request was not run: only if each attempt was not sent, was
+/// refused by its agent or is tombstoned there.
 ///
 ///     flow_step step = flow.begin(now);
 ///     while (!is_final(step)) step = std::visit(carry_out, step);
 class request_flow {
  public:
-  /// \param request What is asked.
-  /// \param limits The limits.
+  /// \param request The accepted request.
+  /// \param limits Bounds of retries and pauses.
   /// \param take_retry Takes one retry from the router's budget; false if it
-  ///   is spent.
+  ///   is exhausted.
   /// \param random_bits Random bits for jitter.
   request_flow(flow_request request, flow_limits limits,
                std::function<bool()> take_retry,
                std::function<std::uint64_t()> random_bits);
 
-  /// Begins; called once.
+  /// Starts the first attempt; called once.
   flow_step begin(time_point now);
 
-  /// Takes a home's answer, at once or when a queued request's turn came.
+  /// Handles a home's response: immediate, or for a queued request that is now
+  /// granted or refused.
   flow_step on_permit(const wire::permit_answer& answer, time_point now);
 
-  /// Takes note that the home asked, or waited at, is gone or forgot it.
+  /// Handles that the home in charge is unreachable or has lost the request.
   flow_step on_home_lost(time_point now);
 
-  /// Takes the result of writing a claim: ok, or why it does not stand.
+  /// Handles the result of writing an idempotency claim.
+  ///
+  /// \param code ok, or why the claim was not written.
   flow_step on_claim(result_code code, time_point now);
 
-  /// Takes the result of a dispatch.
+  /// Handles the result of a dispatched attempt.
   flow_step on_attempt(const attempt_result& result, time_point now);
 
-  /// Takes the agent's word on an attempt; nothing if it did not answer.
+  /// Handles the status that the agent reported for an attempt; nothing if it
+  /// did not respond.
   flow_step on_fate(std::optional<wire::attempt_status> fate, time_point now);
 
-  /// Takes the result of fetching a kept answer.
+  /// Handles the result of fetching a stored response.
+  ///
+  /// \param whole True if the complete response was fetched.
   flow_step on_kept(bool whole, time_point now);
 
-  /// Takes note that the caller hung up before an attempt was sent.
+  /// Handles that the caller disconnected before an attempt was sent.
   flow_step on_caller_gone() const;
 
-  /// Goes on after a pause.
+  /// Continues after a `pause_until` step.
   flow_step on_pause_over(time_point now);
 
-  /// Returns the attempt under way or last made.
+  /// Returns the current or the last attempt.
   const attempt_id& attempt() const { return this->current; }
 
-  /// Returns how many attempts were made.
   std::uint32_t attempts() const { return this->current.number; }
 
  private:
@@ -90,17 +95,17 @@
   wire::permit_answer permit;
   std::size_t rank = 0;
   std::size_t homes_lost = 0;
-  /// Attempts that failed in a way that may not pass soon.
+  /// Failed attempts, without refusals that are transient.
   std::uint32_t failures = 0;
   std::uint32_t crashes = 0;
   std::uint32_t fate_asks = 0;
   std::vector<std::string> excluded;
-  /// Set once some attempt may have run without its answer arriving.
+  /// True once an attempt may have run whose response was not received.
   bool may_have_run = false;
   bool asking_fate = false;
 };
 
-/// Returns whether a step ends the flow.
+/// Returns true if no step follows this one.
 bool is_final(const flow_step& step);
 
 }  // namespace boragehill::decide
--- a/src/decide/retry_budget.hpp
+++ b/src/decide/retry_budget.hpp
@@ -3,25 +3,26 @@
 
 namespace boragehill::decide {
 
-/// A token bucket that bounds retries to a share of the first attempts.
+/// Token bucket that bounds one router's retries to a share of its first
+/// attempts. `windowed_retry_budget` bounds all routers together.
 ///
-/// Without it, a fault that fails every attempt multiplies the load just when
-/// there is least room for it.
+/// Without it, a fault that fails every attempt multiplies the load when there
+/// is least capacity.
 class retry_budget {
  public:
-  /// \param share Tokens that each first attempt adds, as 0.1.
-  /// \param burst The most tokens kept; the budget starts with this many.
+  /// \param share Tokens that each first attempt adds, such as 0.1.
+  /// \param burst Capacity of the bucket in tokens; it starts full.
   retry_budget(double share, double burst);
 
-  /// Adds one first attempt's share.
+  /// Adds the tokens of one first attempt.
   void on_first_attempt();
 
   /// Takes a token for one retry.
   ///
-  /// \return False if the budget is spent: the retry must not be made.
+  /// \return False if no token is left: the retry must not be made.
   bool take_retry();
 
-  /// Returns the tokens left.
+  /// Returns the number of tokens left.
   double tokens() const;
 
  private:
--- a/src/decide/send_budget.hpp
+++ b/src/decide/send_budget.hpp
@@ -9,30 +9,31 @@
 
 namespace boragehill::decide {
 
-/// One router's share of the repeats that a service may get in any window.
+/// Sliding-window retry budget: one router's share of the retries that a
+/// service may get in any window. `retry_token_bucket` bounds one router alone.
 ///
-/// Answers a fault that fails every attempt: without a bound, repeats multiply
-/// the load just when there is least room. All routers share the bound without
-/// talking: the part by ratio goes by a router's own traffic, the constant
-/// part is divided by their number, and `margin` of the whole is left unused
-/// for windows that slide differently.
+/// Without a bound, a fault that fails every attempt multiplies the load when
+/// there is least capacity. Routers share the bound without communicating: the
+/// proportional part follows a router's own traffic, the constant part is
+/// divided by the number of routers, and only `used_fraction` of the sum is
+/// used, since the windows of the routers aren't aligned.
 class send_budget {
  public:
-  /// Part of the bound that is used.
+  /// The fraction of the bound that is used.
   static constexpr double margin = 0.8;
 
   explicit send_budget(const send_budget_settings& settings)
       : settings(settings) {}
 
-  /// Counts a request of a caller.
+  /// Counts one request of a caller.
   void on_request(time_point now);
 
-  /// Takes leave for one arrival beyond a request's first.
-  /// \param routers The routers that share the bound.
-  /// \return False if the share is used up: the request must not be sent again.
+  /// Takes one retry, an attempt after a request's first.
+  /// \param routers The number of routers that share the bound.
+  /// \return False if the share is exhausted: the request must not be retried.
   bool take(time_point now, int routers);
 
-  /// \return Repeats that could be taken now.
+  /// \return The number of retries that could be taken now.
   double left(time_point now, int routers);
 
  private:
--- a/src/decide/send_budget_settings.hpp
+++ b/src/decide/send_budget_settings.hpp
@@ -5,13 +5,13 @@
 
 namespace boragehill::decide {
 
-/// Bounds of the arrivals at a service beyond the first of each request.
+/// Bounds of the retries that a service may get, see `windowed_retry_budget`.
 struct send_budget_settings {
-  /// Repeats allowed for each request, over all routers.
+  /// Retries allowed per request, over all routers.
   double ratio = 0.2;
-  /// Repeats allowed besides, in a window, over all routers.
+  /// Additional retries allowed per window, over all routers.
   double extra = 50;
-  /// The sliding window.
+  /// Length of the sliding window.
   milliseconds window{10000};
 
   bool operator==(const send_budget_settings&) const = default;
--- a/src/decide/send_record.cpp
+++ b/src/decide/send_record.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Servers that refuse one after the other: after so many the fleet is full or
-/// its view is wrong, and the caller is told so.
+/// Maximum number of attempts, including refused ones. After so many refusals
+/// all servers are full or this router's view of them is wrong, and the caller
+/// gets an error.
 constexpr int most_sends = 6;
 
 }  // namespace
@@ -55,7 +56,8 @@
 }
 
 bool send_record::may_repeat_failure() const {
-  // A stream is resumed when it breaks off; a failure is an answer to it.
+  // A stream is resumed after an interruption, but a failure status is its
+  // response.
   const bool repeatable = this->rule == fleet::repeat_rule::idempotent;
   return repeatable && this->sends < most_sends &&
          this->runs + 1 < this->attempts;
--- a/src/decide/strike_settings.hpp
+++ b/src/decide/strike_settings.hpp
@@ -8,13 +8,13 @@
 
 namespace boragehill::decide {
 
-/// Bounds of `strikes`.
+/// Bounds of `crash_attribution`.
 struct strike_settings {
-  /// Strikes that convict.
+  /// Crashes after which a request is quarantined.
   std::uint32_t limit = 2;
-  /// The most fingerprints remembered.
+  /// Maximum number of stored fingerprints.
   std::size_t capacity = 10000;
-  /// How long a strike or conviction is remembered.
+  /// How long a crash or a quarantine is kept.
   milliseconds keep{3600000};
 
   bool operator==(const strike_settings&) const = default;
--- a/src/decide/strikes.cpp
+++ b/src/decide/strikes.cpp
@@ -23,11 +23,11 @@
   for (const std::string& fingerprint : present) {
     if (this->is_struck(fingerprint, now)) struck.insert(fingerprint);
   }
-  // Two struck requests can meet on one server when their homes, which don't
-  // know of each other's strikes, chose the same one, or when a copy of one
-  // was in flight before it was struck. That crash shows only that one of them
-  // is guilty: convicting both would refuse an innocent request, so it adds no
-  // strike to either and they are run apart once more.
+  // Two implicated requests can run on one server if their homes, which don't
+  // share their crash counts, choose the same one, or if a copy of one was in
+  // flight before it was implicated. Such a crash doesn't show which of them
+  // caused it. It is counted for neither, since quarantining both would refuse
+  // a harmless request, and they run apart again.
   const bool tells_who = struck.size() == 1;
   std::vector<std::string> guilty;
   for (const std::string& fingerprint : present) {
@@ -52,8 +52,9 @@
 
 void strikes::convict(const std::string& fingerprint, time_point now) {
   const entry* known = this->find(fingerprint, now);
-  // Peers repeat a conviction with each heartbeat. Keeping the first time
-  // lets it expire; else two routers would renew it for each other forever.
+  // Peers repeat a quarantine with each heartbeat. The first time is kept so
+  // that it expires; otherwise two routers would renew it for each other
+  // forever.
   if (known != nullptr && known->convicted) return;
   this->entries[fingerprint] = {this->settings.limit, true, now};
   this->make_room(now);
@@ -95,8 +96,9 @@
   std::erase_if(this->entries, [&](const auto& item) {
     return now - item.second.at > this->settings.keep;
   });
-  // A convicted request would crash servers again once forgotten, a struck one
-  // is most likely innocent: strikes go first, the oldest before the others.
+  // A quarantined request would crash servers again once evicted, whereas an
+  // implicated one is most likely harmless. So implicated requests are evicted
+  // first, the oldest before the others.
   while (this->entries.size() > this->settings.capacity) {
     const auto worth_least = std::min_element(
         this->entries.begin(), this->entries.end(),
--- a/src/decide/strikes.hpp
+++ b/src/decide/strikes.hpp
@@ -14,38 +14,39 @@
 
 namespace boragehill::decide {
 
-/// Remembers which requests were in flight when backend servers crashed, and
-/// convicts the one that crashes each server it runs on.
+/// Finds the request that crashes backend servers (a poison request) and
+/// quarantines it, from the requests in flight at each crash.
 ///
-/// A crash strikes every fingerprint in flight. Struck ones then run apart from
-/// each other, so the next crash has one struck suspect, which is convicted.
-/// While at most one request in flight anywhere crashes servers, it is
-/// convicted at its second crash and no other request ever is.
+/// A crash implicates every fingerprint in flight. Implicated requests then run
+/// apart from each other, so the next crash has a single implicated request in
+/// flight, which is quarantined. If only one poison request is in flight, it is
+/// quarantined at its second crash, and no harmless request is.
 class strikes {
  public:
   explicit strikes(strike_settings settings);
 
-  /// Returns how the request may run now.
+  /// Returns whether and how the request may run now.
   strike_verdict judge(const std::string& fingerprint, time_point now) const;
 
-  /// Notes the crash of one backend server.
+  /// Records the crash of one backend server.
   ///
-  /// \param in_flight Every fingerprint in flight there, in any order.
-  /// \return The newly convicted, to be written to the table and told to peers.
+  /// \param in_flight All fingerprints in flight there, in any order.
+  /// \return The newly quarantined ones, which the caller of this function must
+  ///   write to the table and send to its peers.
   std::vector<std::string> on_crash(const std::vector<std::string>& in_flight,
                                     time_point now);
 
-  /// Clears the strikes of a request that was answered whole. A conviction
-  /// stands.
+  /// Clears the crashes of a request that got a complete response. A quarantine
+  /// isn't cleared.
   void on_success(const std::string& fingerprint);
 
-  /// Takes over a conviction from a peer or the table.
+  /// Adds a quarantine that was received from a peer or read from the table.
   void convict(const std::string& fingerprint, time_point now);
 
-  /// Returns at most `most` convictions, the latest first.
+  /// Returns at most `most` quarantined fingerprints, the latest first.
   std::vector<std::string> recent_convictions(std::size_t most) const;
 
-  /// Returns the number of fingerprints remembered.
+  /// Returns the number of stored fingerprints.
   std::size_t size() const;
 
  private:
--- a/test/decide-test/attempt_memory_test.cpp
+++ b/test/decide-test/attempt_memory_test.cpp
@@ -34,9 +34,9 @@
   EXPECT_EQ(again.ran, ran_state::unknown);
 }
 
-// A router asks whether its attempt ran, hears "never seen" and tells its
-// caller so; the attempt, held up in a switch, arrives a moment later and
-// runs. The cause would be an answer that does not bind the agent.
+// A router queries an attempt, gets `never_ran` and reports "not run" to its
+// caller; the attempt was delayed in the network, arrives later and must not
+// run then.
 TEST(attempt_memory_test, a_tombstoned_attempt_never_begins) {
   attempt_memory memory(small);
   EXPECT_EQ(memory.tombstone(id_of(1), at(second), at({})),
@@ -46,9 +46,9 @@
   EXPECT_EQ(late.ran, ran_state::no);
 }
 
-// A router is paused between its permit and its dispatch. When it goes on, the
-// agent has forgotten the tombstone that another router set meanwhile. The
-// attempt must not run, however long the pause was.
+// A router is paused between its permit and its dispatch. When it continues,
+// the agent has removed the tombstone that another router set in the meantime.
+// The attempt must not run, however long the pause was.
 TEST(attempt_memory_test, refuses_an_attempt_after_its_permit_ended) {
   attempt_memory memory(small);
   memory.tombstone(id_of(1), at(second), at({}));
@@ -119,8 +119,8 @@
   EXPECT_EQ(door.state_of(old), attempt_state::forgotten);
 }
 
-/// Random offers, duplicates, questions and pauses against one decision, and
-/// what then ran and was promised.
+/// What ran, and which attempts were reported as `never_ran`, in a random
+/// sequence of offers, duplicates, tombstones and pauses.
 struct history {
   std::map<std::string, int> runs;
   std::set<std::string> promised;
@@ -164,7 +164,8 @@
   return past;
 }
 
-/// Forgets by the clock of the attempt's end and not of its permit.
+/// Faulty implementation that removes an attempt when it ends, not after the
+/// end of its permit.
 class forgetful_admission {
  public:
   admission_verdict decide(const attempt_offer& offer, result_code,
--- a/test/decide-test/crash_watch_test.cpp
+++ b/test/decide-test/crash_watch_test.cpp
@@ -13,7 +13,8 @@
 
 class crash_watch_test : public testing::Test {
  protected:
-  /// What the planner hears of a router and tells all of them.
+  /// Reports the crashes of all routers to the planner's counter, and its
+  /// quarantined requests to all routers.
   void exchange_news(const std::vector<crash_watch*>& routers) {
     for (auto* each : routers) {
       for (const auto& strike : each->take_strikes()) {
@@ -34,9 +35,9 @@
 };
 
 TEST_F(crash_watch_test, three_crashes_at_any_routers_convict_everywhere) {
-  // A caller's request crashes a server at one router and two at another.
-  // Neither of them has seen three; without the sum it goes on, router by
-  // router, until no server is left.
+  // A request crashes one server through one router and two through another.
+  // Neither router has counted three crashes; without the planner's sum the
+  // request would go on to take down every server.
   this->one.on_broken(poison, this->now);
   this->two.on_broken(poison, this->now);
   this->exchange_news({&this->one, &this->two});
@@ -56,8 +57,8 @@
 }
 
 TEST_F(crash_watch_test, an_answer_acquits) {
-  // A list link that hundreds of students open is alike to the letter. Cut
-  // connections strike it many times in a second; it is answered all the time.
+  // Hundreds of callers send the identical request. Cut connections interrupt
+  // it several times per second while other copies complete.
   this->one.on_answered(poison);
   for (int each = 0; each < 5; ++each) {
     this->one.on_broken(poison, this->now);
@@ -71,7 +72,7 @@
 }
 
 TEST_F(crash_watch_test, a_new_planner_hears_of_it) {
-  // The planner is lost after the third crash, and with it the sum.
+  // The planner is lost after the third crash, and with it the count.
   for (int each = 0; each < crash_tally::limit; ++each) {
     this->one.on_broken(poison, this->now);
   }
--- a/test/decide-test/exclusive_admission_test.cpp
+++ b/test/decide-test/exclusive_admission_test.cpp
@@ -30,10 +30,10 @@
 
 }  // namespace
 
-// A user whose harmless request shared a server with two requests that crash
-// it would be refused for good. Two homes, each with one struck request, send
-// both to the same server; it crashes once and both homes see their struck
-// request crash. So only one of them may run there, and alone.
+// Guards against quarantining a harmless request. Two homes, each with one
+// implicated request, send both to the same server; it crashes once, and both
+// homes attribute the crash to their request. So only one of them may run
+// there, with no other attempt in flight.
 TEST(exclusive_admission_test, runs_a_struck_attempt_with_nothing_beside_it) {
   admission at = ready_admission();
   EXPECT_EQ(decide_at(at, offer(1, true), start), result_code::ok);
@@ -50,9 +50,9 @@
   EXPECT_EQ(at.running(), 1U);
 }
 
-// A struck request on a server that is never idle would wait until its
-// deadline. Turned away once, it keeps others out until the running ones have
-// ended and it came back.
+// On a server that is never idle, an implicated request would wait until its
+// deadline. So a rejected one reserves the server until the running attempts
+// have ended and it is retried.
 TEST(exclusive_admission_test, keeps_others_out_until_the_struck_one_is_back) {
   admission at = ready_admission();
   EXPECT_EQ(decide_at(at, offer(1, false), start), result_code::ok);
--- a/test/decide-test/once_claim_test.cpp
+++ b/test/decide-test/once_claim_test.cpp
@@ -23,8 +23,9 @@
 }
 
 TEST(once_claim_test, runs_again_only_what_never_ran) {
-  // A doubled order ships two manifolds: the first attempt's agent is silent
-  // or has forgotten it, and the resend is dispatched to another server.
+  // Guards against running a request twice: the agent of the first attempt does
+  // not respond or has lost its state, and a retry with the same key is
+  // dispatched to another server.
   EXPECT_EQ(judge_agent_answer(attempt_status::never_ran),
             claim_step{reclaim{}});
   EXPECT_EQ(judge_agent_answer(attempt_status::running),
--- a/test/decide-test/request_flow_test.cpp
+++ b/test/decide-test/request_flow_test.cpp
@@ -69,8 +69,8 @@
 }
 
 TEST(request_flow_test, takes_a_new_attempt_number_after_a_lost_home) {
-  // One request runs on two servers: a home that seemed lost granted the same
-  // attempt that the next home then granted elsewhere.
+  // Otherwise one request could run on two servers: a home taken for lost and
+  // the next home would both grant the same attempt.
   auto flow = flow_of(asked(false));
   flow.begin(start);
   const auto next = flow.on_home_lost(start);
@@ -104,9 +104,9 @@
 }
 
 TEST(request_flow_test, outwaits_a_busy_server_until_its_deadline) {
-  // A caller with ten seconds left hears "server busy" after two: its home
-  // sends it to a server that another home keeps full, and each refusal there
-  // counted as a failed attempt and spent the budget.
+  // Guards against `server_busy` being sent to a caller after 2 s of its 10 s:
+  // its home chose a server that another home kept full, and each refusal there
+  // counted as a failed attempt and exhausted the retry budget.
   auto flow = flow_of(asked(false), false, {.max_attempts = 2});
   flow_step step = flow.begin(start);
   time_point now = start;
@@ -148,8 +148,9 @@
 }
 
 TEST(request_flow_test, asks_for_the_fate_of_a_broken_non_idempotent_run) {
-  // A doubled order: the connection broke after the request was sent, and the
-  // router sent it to another server while the first one still ran it.
+  // Guards against running a non-idempotent request twice: the connection
+  // breaks after the request was sent, and the router sends it to another
+  // server while the first one still runs it.
   for (const auto status : {attempt_status::never_ran, attempt_status::running,
                             attempt_status::ended, attempt_status::broken,
                             attempt_status::forgotten}) {
@@ -187,7 +188,7 @@
   EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::unknown);
 }
 
-/// Random surroundings that know what really ran.
+/// Drives a request_flow with random events and records what actually ran.
 struct random_surroundings {
   explicit random_surroundings(std::uint32_t seed, flow_request facts)
       : random(seed),
@@ -262,7 +263,7 @@
   flow_step on(const ask_fate& step) {
     EXPECT_EQ(step.attempt, this->sent);
     if (this->one_in(3)) return this->flow.on_fate(std::nullopt, this->now);
-    // An agent says "never ran" only of what it then never runs.
+    // An agent reports `never_ran` only for an attempt that can't run later.
     auto status = attempt_status::never_ran;
     if (this->here) {
       status = static_cast<attempt_status>(1 + this->random() % 4);
@@ -295,9 +296,9 @@
 };
 
 TEST(request_flow_test, tells_the_truth_on_every_random_path) {
-  // A caller told "not run" orders again and gets two manifolds; one told
-  // nothing before its deadline hangs. Whatever happens in whatever order, a
-  // refusal with "no" had no run, and a non-idempotent request ran once.
+  // For any order of events: a refusal that states "not run" had no run (else
+  // the caller retries and the request runs twice), a non-idempotent request
+  // runs at most once, and each request ends by its deadline.
   int refused = 0;
   int answered = 0;
   for (std::uint32_t seed = 0; seed < 20000; ++seed) {
--- a/test/decide-test/retry_budget_test.cpp
+++ b/test/decide-test/retry_budget_test.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 TEST(retry_budget_test, bounds_retries_when_every_attempt_fails) {
-  // A fault fails every attempt, and each failure asks for a retry. Without a
-  // budget the load doubles; callers of healthy servers wait behind it.
+  // A fault fails every attempt, and each failure leads to a retry. Without a
+  // budget the load doubles and delays requests to healthy servers.
   retry_budget budget(0.1, 5.0);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
--- a/test/decide-test/send_budget_test.cpp
+++ b/test/decide-test/send_budget_test.cpp
@@ -8,8 +8,8 @@
 const time_point begin{std::chrono::seconds(100)};
 
 TEST(send_budget_test, bounds_repeats_of_all_routers_together_in_any_window) {
-  // A fault fails every attempt: four routers with uneven traffic each repeat
-  // as much as they may. Together they stay below the bound in every window.
+  // A fault fails every attempt: four routers with uneven traffic each retry as
+  // much as they may. Together they stay within the bound in every window.
   const send_budget_settings settings{.ratio = 0.2, .extra = 50};
   std::vector<send_budget> routers(4, send_budget(settings));
   std::vector<int> requests(40);
--- a/test/decide-test/send_record_test.cpp
+++ b/test/decide-test/send_record_test.cpp
@@ -8,8 +8,9 @@
 using fleet::repeat_rule;
 
 TEST(send_record_test, sends_an_order_again_only_while_it_surely_did_not_run) {
-  // An order for two manifolds: the first worker refuses as full, the second
-  // breaks off. A third send could ship the manifolds twice.
+  // Guards against running a non-idempotent request twice: the first worker
+  // refuses it as full, the response of the second is interrupted. A third
+  // attempt could be a second run.
   send_record order(repeat_rule::once, false, 3);
   order.on_send("a");
   EXPECT_FALSE(order.may_send());
@@ -77,9 +78,9 @@
 }
 
 TEST(send_record_test, asks_the_only_server_again_that_broke_a_stream_off) {
-  // One worker has the model; it loses the answer to a stream that may go on.
-  // Left out as tried, it was the only one that could have gone on: the caller
-  // waited 16 s for another and was refused.
+  // Only one worker has the model, and its response to a resumable stream is
+  // interrupted. When that worker was excluded as tried, the caller waited 16 s
+  // for another one and was refused.
   send_record review(repeat_rule::stream, true, 2);
   review.on_send("a");
   review.on_perhaps_run();
--- a/test/decide-test/strikes_test.cpp
+++ b/test/decide-test/strikes_test.cpp
@@ -33,9 +33,9 @@
 }
 
 TEST(strikes_test, convicts_nobody_when_two_struck_ones_met) {
-  // A co-op's quote is refused as a crasher though it is harmless: it was in
-  // flight at a first crash beside the guilty request, both were sent again,
-  // and two homes that don't know each other chose the same server for them.
+  // Guards against quarantining a harmless request: it was in flight at a crash
+  // together with the poison request, both were retried, and two homes that
+  // don't share their crash counts chose the same server for them.
   strikes book = book_of(100);
   book.on_crash({"poison", "quote"}, start);
   EXPECT_TRUE(book.on_crash({"poison", "quote"}, start).empty());
@@ -81,8 +81,8 @@
   EXPECT_EQ(book.recent_convictions(2), latest);
 }
 
-/// Servers that run random requests under the rules of `strike_verdict`. The
-/// guilty request is sent again after each crash, as every caller does.
+/// Servers that run random requests under the rules of `isolation_decision`.
+/// The poison request is retried after each crash, as callers do.
 class crash_run {
  public:
   explicit crash_run(unsigned seed) : random(seed) {}
@@ -120,7 +120,7 @@
     chosen.in_flight.insert(request);
   }
 
-  /// Ends a server's batch: by a crash if the guilty request is in it.
+  /// Ends all requests on a server: by a crash if the poison request is one.
   void end_all(server& chosen) {
     const std::vector<std::string> ended(chosen.in_flight.begin(),
                                          chosen.in_flight.end());
