--- a/src/decide/decision_note.hpp
+++ b/src/decide/decision_note.hpp
@@ -7,10 +7,10 @@
 
 namespace boragehill::decide {
 
-/// One decision with its reason and inputs, kept for `explain`.
+/// A decision and its reason, kept for `explain`.
 struct decision_note {
   time_point at;
-  /// The attempt decided about; empty for decisions about the target.
+  /// The attempt concerned; empty for a decision about the target.
   std::string attempt;
   std::string text;
 
--- a/src/decide/home.cpp
+++ b/src/decide/home.cpp
@@ -50,7 +50,8 @@
   this->pump(target, now);
   this->refuse_hopeless(target, now);
 
-  // An answer given while pumping goes back directly, not by a second call.
+  // A decision made by the dispatch above is returned directly, which saves a
+  // call to the entry router.
   const auto own = [&](const home_action& action) {
     const auto* told = std::get_if<tell_entry>(&action);
     return told != nullptr && told->answer.attempt == ask.attempt;
@@ -110,9 +111,9 @@
     this->strike_book.on_success(end.fingerprint);
   }
   if (end.outcome == wire::attempt_outcome::crashed) {
-    // A struck request convicts itself only by a crash while it ran with
-    // nothing beside it: else an innocent one that shared two servers with
-    // other crashing requests would be refused for good.
+    // An implicated request is quarantined only for a crash while it ran alone
+    // on a server. Otherwise a harmless request that shared two servers with
+    // poison requests would be refused permanently.
     const bool counts =
         exclusive || std::holds_alternative<free_to_run>(
                          this->strike_book.judge(end.fingerprint, now));
--- a/src/decide/home.hpp
+++ b/src/decide/home.hpp
@@ -27,82 +27,88 @@
 
 class catalog;
 
-/// The decisions of a model's home: who waits, who goes where, what is woken.
+/// Queues and dispatches the requests of the targets whose home this router is,
+/// and orders the loads of their models.
 ///
-/// A pure state machine for all targets that one router looks after. Events
-/// come in through the `on_` functions; what the surroundings shall do is
-/// collected and fetched with `take_actions`. Two routers that both believe
-/// to be home break no promise: agents enforce grants, memory and attempts.
+/// A state machine without I/O. Events come in through the `on_` functions;
+/// `take_actions` returns what the caller has to carry out. It is safe for two
+/// routers to act as home of one target at the same time, since the agents
+/// enforce grants, memory limits and at-most-once execution.
 ///
-///     home h(settings);
-///     auto answer = h.request(ask, now);   // granted, queued or refused
+///     home h(settings, crash_settings);
+///     auto response = h.request_permit(request, now);
 ///     for (auto& action : h.take_actions()) std::visit(run, action);
 class home {
  public:
   explicit home(home_settings settings, strike_settings strike_limits);
 
-  /// Asks for a permit. Idempotent for one attempt.
+  /// Requests a permit to run an attempt. Idempotent for one attempt.
   ///
   /// \param ask The request; its time left counts from `now`.
-  /// \param now The time.
-  /// \return Granted, queued or refused. A refusal is final for the attempt;
-  ///   it was not run.
+  /// \return Granted, queued or refused. A refusal is final for the attempt,
+  ///   which was not run.
   wire::permit_answer request(const wire::permit_request& ask, time_point now);
 
-  /// Takes back a request whose caller is gone, or whose permit its entry
-  /// router will not use.
+  /// Removes a request whose caller has disconnected, or releases a permit that
+  /// the entry router will not use.
   void withdraw(const std::string& attempt, time_point now);
 
-  /// Returns which of an entry router's waiting attempts are not known here.
-  /// Those with a permit are told of it again: the first telling was lost.
+  /// Returns which of an entry router's waiting attempts are unknown here.
+  ///
+  /// For an attempt that has a permit the notification is repeated, since the
+  /// entry router still waits and so did not receive the first one.
   std::vector<std::string> on_renewal(const std::vector<std::string>& attempts);
 
-  /// Takes note of how an attempt ended; its place is free again.
+  /// Handles the end of an attempt and releases its permit.
   void on_done(const wire::attempt_end& end, time_point now);
 
-  /// Takes an agent's report.
+  /// Applies an agent's report and dispatches to the slots that it shows free.
   void on_report(const wire::agent_report& report, time_point now);
 
-  /// Takes an agent's answer to a wake; `unreachable` if none came.
+  /// Handles an agent's response to a load order.
   void on_wake_answer(const order_wake& wake, const wire::wake_answer& answer,
                       time_point now);
 
-  /// Takes note that a wake has to wait for the weight store.
+  /// Handles a load that has to wait because the weight store is at its
+  /// concurrency limit.
+  ///
+  /// \param wait Expected time until the load may start.
   void on_wake_paced(const order_wake& wake, milliseconds wait, time_point now);
 
-  /// Takes note that a wake could not be delivered.
+  /// Handles a load order that could not be delivered.
   void on_wake_lost(const order_wake& wake, time_point now);
 
-  /// Sets the backend servers that hold a grant for a model, as the table's
-  /// row says, or that make up a pool.
+  /// Sets the backend servers of a target: those that hold a grant according to
+  /// the model's row in the table, or the members of a pool.
   void on_servers(const std::string& target, std::vector<std::string> servers,
                   time_point now);
 
-  /// Takes note that the platform or the server itself says it is leaving.
+  /// Marks a server as draining, as the platform or the server itself reported.
   void on_leaving(const std::string& server);
 
-  /// Takes note that a call to a server failed: no new work for a while.
+  /// Handles a failed call to a server: it gets no new requests for
+  /// `server_cooldown`.
   void on_suspected(const std::string& server, time_point now);
 
-  /// Drops all that waits for an entry router that is gone.
+  /// Removes the waiting requests of an entry router that was lost.
   void on_entry_gone(const endpoint& entry, time_point now);
 
-  /// Takes the configuration in force.
+  /// Applies the configuration in force.
   void on_catalog(const catalog& published, time_point now);
 
-  /// Takes over a conviction from the table or another router.
+  /// Quarantines a request that the table or another router reported.
   void on_conviction(const std::string& fingerprint, time_point now);
 
-  /// Refuses what can no longer be in time and orders what is due.
+  /// Expires permits, refuses requests that can no longer meet their deadline,
+  /// and orders the loads that are due.
   void tick(time_point now);
 
-  /// Returns and forgets the actions collected since the last call.
+  /// Returns the actions collected since the last call and clears them.
   std::vector<home_action> take_actions();
 
-  /// Returns the target, or null if nobody asked for it yet.
+  /// Returns the target, or null if no request or grant has named it yet.
   const home_target* target(const std::string& name) const;
 
-  /// Returns all targets by name.
   const std::map<std::string, home_target>& targets() const {
     return this->known_targets;
   }
@@ -111,13 +117,15 @@
     return this->known_servers;
   }
 
-  /// Returns the waiting requests over all targets.
+  /// Returns the number of waiting requests of all targets.
   std::size_t waiting() const { return this->waiting_total; }
 
-  /// Returns the permits out, over all targets.
+  /// Returns the number of permits in use, for all targets.
   std::size_t permits_out() const { return this->issued.size(); }
 
-  /// Returns the expected time until a new request of a target would start.
+  /// Returns the expected time until a new request for a target would start.
+  ///
+  /// \param adapter The adapter that the request needs; empty for none.
   milliseconds estimate(const std::string& target, const std::string& adapter,
                         time_point now) const;
 
@@ -190,15 +198,17 @@
   std::map<std::string, home_target> known_targets;
   std::map<std::string, home_server> known_servers;
   std::unordered_map<std::string, issued_permit> issued;
-  /// Attempts waiting, by id, with their target.
+  /// The target of each waiting attempt, by attempt id.
   std::unordered_map<std::string, std::string> waiting_at;
   std::map<std::string, std::uint32_t> in_flight_by_server;
-  /// Servers and targets with a struck request in flight; one each.
+  /// Servers and targets with an implicated request in flight; at most one
+  /// each.
   std::set<std::string> struck_servers;
   std::set<std::string> struck_targets;
-  /// Servers kept free for a struck request that waits for them to empty.
+  /// Servers that get no other requests until they are idle, with the attempt
+  /// of the implicated request that then runs there.
   std::map<std::string, std::string> reserved;
-  /// Load times by checkpoint tier, as seen.
+  /// Mean load times by checkpoint tier.
   std::array<running_mean, 3> load_means;
   std::vector<home_action> actions;
   std::size_t waiting_total = 0;
--- a/src/decide/home_action.hpp
+++ b/src/decide/home_action.hpp
@@ -14,7 +14,7 @@
 
 namespace boragehill::decide {
 
-/// Tell an entry router that its waiting request's turn came, or never will.
+/// Notify an entry router that its waiting request was granted or refused.
 struct tell_entry {
   endpoint entry;
   wire::permit_answer answer;
@@ -22,50 +22,52 @@
   bool operator==(const tell_entry&) const = default;
 };
 
-/// Order a wake; its answer comes back through `home::on_wake_answer`.
+/// Order a server to load a model or adapter. The response is passed to
+/// `home::on_load_response`.
 struct order_wake {
   std::string server;
   endpoint control;
   wire::wake_order order;
-  /// It loads from the weight store, which is paced.
+  /// Whether it loads from the weight store, whose concurrent loads are
+  /// limited.
   bool remote = false;
-  /// The earliest deadline among the requests that wait for it.
+  /// Time to the earliest deadline of the requests that wait for it.
   milliseconds time_left{0};
 
   bool operator==(const order_wake&) const = default;
 };
 
-/// A load from the weight store ended, well or not.
+/// Report that a load from the weight store completed or failed.
 struct load_ended {
   std::string server;
   std::string model;
-  /// 0 for a load that failed.
+  /// How long the load took; 0 if it failed.
   milliseconds took{0};
 
   bool operator==(const load_ended&) const = default;
 };
 
-/// Bring a model's grants to a number by conditional writes.
+/// Add grants for a model, by conditional writes, until it has `count`.
 struct want_grants {
   std::string model;
   std::uint32_t number = 0;
-  /// Servers that do not count towards the number: suspected ones.
+  /// Servers without a recent report. Their grants do not count.
   std::vector<std::string> not_counted;
   std::string reason;
-  /// No request waits for the model.
+  /// Whether no request waits for the model.
   bool ahead = false;
 
   bool operator==(const want_grants&) const = default;
 };
 
-/// Tell the other routers, and the table, of a request that crashes servers.
+/// Tell the other routers and the table about a quarantined request.
 struct share_conviction {
   std::string fingerprint;
 
   bool operator==(const share_conviction&) const = default;
 };
 
-/// What a home asks its surroundings to do.
+/// What a home asks its caller to carry out.
 using home_action = std::variant<tell_entry, order_wake, want_grants,
                                  share_conviction, load_ended>;
 
--- a/src/decide/home_dispatch.cpp
+++ b/src/decide/home_dispatch.cpp
@@ -1,4 +1,5 @@
-// The part of home that gives permits: who goes to which backend server.
+// The part of home that issues permits: chooses a backend server for each
+// waiting request.
 
 #include <algorithm>
 
@@ -32,12 +33,14 @@
                      time_point now) {
   const auto verdict = this->strike_book.judge(waiting.ask.fingerprint, now);
   const bool exclusive = std::holds_alternative<run_alone>(verdict);
-  // Struck requests go one at a time, so a crash names exactly one of them.
+  // Implicated requests run one at a time, so that a crash identifies the one
+  // that caused it.
   if (exclusive && this->struck_targets.contains(target.name)) return false;
   const chosen_server chosen = this->choose_server(target, waiting, now);
   if (chosen.server == nullptr) return false;
   if (exclusive && this->in_flight(chosen.id) > 0) {
-    // Others would keep every server busy for ever; this one is left to empty.
+    // Without the reservation other requests might keep every server busy, and
+    // this one would never run alone.
     this->reserved.emplace(chosen.id, waiting.ask.attempt);
     return false;
   }
@@ -50,7 +53,8 @@
                                         time_point now) const {
   chosen_server best;
   std::uint32_t best_load = 0;
-  // A model's only server is better than none until the deadline.
+  // If all servers are excluded the exclusion is ignored: running on one of
+  // them again is better than waiting until the deadline.
   const bool all_excluded = std::all_of(
       target.servers.begin(), target.servers.end(),
       [&](const auto& id) { return contains(waiting.ask.excluded, id); });
@@ -64,9 +68,9 @@
     const bool kept_for_other =
         kept != this->reserved.end() && kept->second != waiting.ask.attempt;
     if (kept_for_other) continue;
-    // Reports lag: one's own permits are counted as they stand, or a server
-    // that was full when it reported would seem so, and stand idle, until its
-    // next report.
+    // Reports lag, so this home counts its own permits itself. By the report
+    // alone, a server that was full when it reported would be left idle until
+    // its next report.
     const std::uint32_t load = server->others_running() + this->in_flight(id);
     if (load >= server->report().slots) continue;
     if (best.server != nullptr && load >= best_load) continue;
@@ -108,8 +112,8 @@
   answer.control = report.control;
   answer.fence = report.incarnation != 0 ? report.incarnation : report.fence;
   answer.exclusive = exclusive;
-  // On the agent's own clock, so that an attempt whose sender was paused is
-  // refused there however late it arrives.
+  // In the agent's clock, so that the agent refuses the attempt if its sender
+  // was paused and it arrives too late.
   answer.permit_end_ms =
       chosen.server->agent_clock(now) + this->limits.permit_allowance.count();
   const auto slack = this->limits.permit_allowance * 2;
--- a/src/decide/home_estimates.cpp
+++ b/src/decide/home_estimates.cpp
@@ -1,5 +1,5 @@
-// The part of home that reckons when a request would start, and refuses what
-// can no longer be in time.
+// The part of home that estimates when a request would start, and refuses those
+// that can no longer meet their deadline.
 
 #include <algorithm>
 
@@ -49,9 +49,9 @@
     cold_slots = std::max(cold_slots, own);
     if (this->can_run(target, *server, {})) slots += own;
   }
-  // Before the first replica is ready the queue will run on the one that
-  // wakes. Counted as one slot, the first burst for a cold model would be
-  // refused as too late although a replica takes many requests at once.
+  // Before the first replica is ready the queue waits for the one that loads.
+  // If that counted as one slot, most of the first burst for a cold model would
+  // be refused, although a replica runs many requests at once.
   if (slots == 0) slots = cold_slots;
   const auto rounds =
       static_cast<std::int64_t>(ahead / std::max<std::uint32_t>(slots, 1));
@@ -79,8 +79,8 @@
 }
 
 void home::refuse_hopeless(home_target& target, time_point now) {
-  // A first guess refuses nobody: only what was seen here says that a load
-  // takes too long.
+  // The initial load times are only guesses. Requests are refused by measured
+  // load times alone.
   if (!this->load_measured(target)) return;
   std::size_t ahead = 0;
   auto at = target.queue.begin();
--- a/src/decide/home_server.hpp
+++ b/src/decide/home_server.hpp
@@ -13,22 +13,23 @@
 
 namespace boragehill::decide {
 
-/// A backend server as a home knows it: the last report and what was seen
+/// A backend server as a home knows it: its last report and the failures seen
 /// since.
 class home_server {
  public:
-  /// Takes a report in; one from an older incarnation of the agent, or one
-  /// that was overtaken on the way, is dropped.
+  /// Applies a report, unless it is from an older incarnation of the agent or
+  /// arrived out of order.
   ///
-  /// \param own_in_flight Permits of this home that are out for the server.
-  /// \return Whether it was taken.
+  /// \param own_in_flight This home's permits in use on the server.
+  /// \return Whether the report was applied.
   bool take(const wire::agent_report& report, std::uint32_t own_in_flight,
             time_point now) {
     const bool numbered = report.fence != 0;
     if (numbered && report.fence < this->last.fence) return false;
-    // A restart while the table is down has no number yet. One VM's clock goes
-    // on through restarts of its agent, so that tells it from an older report;
-    // only a reboot brings both a later number and an earlier clock.
+    // An agent that restarted while the table is down has no fencing number
+    // yet. The VM's monotonic clock continues across agent restarts, so it
+    // shows which report is newer. Only after a reboot is the clock lower, and
+    // then the fencing number is higher.
     const bool later = report.now_ms >= this->last.now_ms;
     if (!later && report.fence <= this->last.fence) return false;
     this->last = report;
@@ -37,20 +38,21 @@
     return true;
   }
 
-  /// Returns how many requests ran there for others when it last reported.
+  /// Returns how many requests of other homes ran there at the last report.
   std::uint32_t others_running() const { return this->others; }
 
   const wire::agent_report& report() const { return this->last; }
 
-  /// Returns the agent's clock at `now`, from the last report.
+  /// Returns the agent's clock at `now` in ms, extrapolated from the last
+  /// report.
   std::int64_t agent_clock(time_point now) const {
     const auto since =
         std::chrono::duration_cast<milliseconds>(now - this->received_at);
     return this->last.now_ms + since.count();
   }
 
-  /// Returns whether it may get new work: heard of lately, not leaving, its
-  /// engine up, and not left alone after a failure.
+  /// Returns whether it may get new requests: it reported recently, is not
+  /// draining, its engine is up and it is not in a cool-down after a failure.
   bool usable(time_point now, milliseconds silence) const {
     if (this->leaving || this->last.draining) return false;
     if (!this->last.backend_up) return false;
@@ -58,7 +60,8 @@
     return now - this->received_at <= silence;
   }
 
-  /// Returns whether it was heard of lately, whatever it said.
+  /// Returns whether it reported recently, even if it is draining or its engine
+  /// is down.
   bool heard(time_point now, milliseconds silence) const {
     return now - this->received_at <= silence;
   }
@@ -66,7 +69,7 @@
   void leave_alone_until(time_point when) { this->cooldown_until = when; }
   void set_leaving() { this->leaving = true; }
 
-  /// Returns what the last report says of a model; null if nothing.
+  /// Returns a model's entry in the last report; null if there is none.
   const wire::replica_report* replica(const std::string& model) const {
     const auto& all = this->last.replicas;
     const auto found = std::find_if(
@@ -74,7 +77,7 @@
     return found == all.end() ? nullptr : &*found;
   }
 
-  /// Returns where the server would load a checkpoint from.
+  /// Returns the tier that the server would load a model's checkpoint from.
   checkpoint_tier tier(const std::string& model) const {
     const auto found = this->last.cached.find(model);
     if (found == this->last.cached.end()) return checkpoint_tier::remote;
--- a/src/decide/home_settings.hpp
+++ b/src/decide/home_settings.hpp
@@ -9,31 +9,35 @@
 
 namespace boragehill::decide {
 
-/// The limits of a home's decisions; durations in milliseconds.
+/// Settings of `home`.
 struct home_settings {
-  /// Waiting requests over all targets, and for one.
+  /// Maximum number of waiting requests: of all targets, and of one.
   std::size_t queue_total = 8192;
   std::size_t queue_per_target = 2048;
-  /// How long after it was given an attempt may still arrive at the agent.
+  /// How long after its issue a permit is accepted by the agent.
   milliseconds permit_allowance{2000};
-  /// A server whose last report is older gets no new work.
+  /// A server whose last report is older than this gets no new requests.
   milliseconds report_silence{2500};
-  /// How long a server is left alone after a failed wake or call.
+  /// How long a server gets no new requests after a failed load order or call.
   milliseconds server_cooldown{3000};
-  /// A wake that has not shown in a report by then is ordered again.
+  /// A load is ordered again if no report shows it this long after it was
+  /// expected to be ready. Also the least time between two requests for the
+  /// same number of grants.
   milliseconds wake_confirm{3000};
-  /// First guesses of load times by checkpoint tier, until seen.
+  /// Load times by checkpoint tier that are assumed until one was measured.
   std::array<milliseconds, 3> load_time{milliseconds{3000}, milliseconds{20000},
                                         milliseconds{60000}};
-  /// First guess of a request's run time, until seen.
+  /// Run time of a request that is assumed until one was measured.
   milliseconds run_time{1000};
-  /// Remote loads at once at full speed, over the whole weight store.
+  /// Number of concurrent loads that the weight store serves at full speed, for
+  /// all homes together.
   std::uint32_t parallel_loads = 4;
-  /// Expected wait beyond which another granted replica is woken.
+  /// Expected wait beyond which a further replica is loaded.
   milliseconds scale_out_wait{5000};
-  /// How many waiting requests one pass looks at behind ones it cannot place.
+  /// How many requests that no server can run are skipped in one pass over a
+  /// queue.
   std::size_t scan_limit = 256;
-  /// Decisions kept for `explain`, for each target.
+  /// Number of decisions kept for `explain`, for each target.
   std::size_t notes_per_target = 64;
 
   bool operator==(const home_settings&) const = default;
--- a/src/decide/home_target.hpp
+++ b/src/decide/home_target.hpp
@@ -17,26 +17,26 @@
 
 namespace boragehill::decide {
 
-/// A model or pool that a home looks after.
+/// The state that a home keeps for one model or pool.
 struct home_target {
   explicit home_target(std::string target_name, milliseconds run_time_guess)
       : name(std::move(target_name)), run_time(run_time_guess) {}
 
   /// "model:<base>" or "pool:<name>".
   std::string name;
-  /// Set for models that a profile in force names.
+  /// Set for a model that is listed in a profile in force.
   std::optional<model_spec> spec;
   std::set<waiting_request, by_deadline> queue;
-  /// Backend servers with a grant; for a pool, its servers.
+  /// Backend servers that hold a grant; for a pool, its members.
   std::vector<std::string> servers;
-  /// When each of them was first named to this home.
+  /// When each of them was added to `servers`.
   std::map<std::string, time_point> servers_since;
-  /// Whether `servers` was ever read from the table or the VM list.
+  /// Whether `servers` was read from the table or the VM list at least once.
   bool servers_known = false;
   std::vector<pending_wake> wakes;
   running_mean run_time;
   time_point last_arrival;
-  /// The number last asked for, so that a storm asks once.
+  /// The number of grants last requested, so that a burst requests them once.
   std::uint32_t wanted_grants = 0;
   time_point wanted_at;
   std::deque<decision_note> notes;
--- a/src/decide/home_wakes.cpp
+++ b/src/decide/home_wakes.cpp
@@ -1,4 +1,4 @@
-// The part of home that wakes models and asks for grants.
+// The part of home that loads models on demand and requests grants.
 
 #include <algorithm>
 #include <set>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Returns whether the base model was ordered at a server and is not yet ready.
+/// Returns whether a load of the base model is pending at a server.
 bool is_waking(const home_target& target, const std::string& server) {
   return std::any_of(target.wakes.begin(), target.wakes.end(),
                      [&](const pending_wake& wake) {
@@ -28,8 +28,9 @@
   this->forget_stale_wakes(target, now);
   const std::uint32_t lost = this->lost_grants(target, now);
   const std::uint32_t standing = target.spec->replicas + lost;
-  // A target that nobody asked for and whose row was not shown belongs to other
-  // homes: asking for it would have each router read every model's row.
+  // A target without requests whose row was never read here belongs to another
+  // home. Requesting grants for it would have each router read every model's
+  // row.
   const bool concerned = target.servers_known || !target.queue.empty();
   if (concerned && target.servers.size() < standing) {
     this->ask_grants(
@@ -68,7 +69,8 @@
     return true;
   }
   if (held && contains(replica->adapters, wake.adapter)) return true;
-  // A wake whose order or load was lost is forgotten, and so ordered again.
+  // A load whose order or result was lost is dropped, so that it is ordered
+  // again.
   const bool loading =
       replica != nullptr && replica->state == wire::replica_state::loading;
   if (loading || wake.paced) return false;
@@ -79,8 +81,8 @@
   const std::uint32_t active = this->active_replicas(target, now);
   const bool needed = !target.queue.empty() || active < target.spec->warm;
   if (!needed) return;
-  // One wake serves the whole first burst; a further replica is worth its
-  // load only when the queue would outlast it.
+  // One load serves the whole first burst. A further replica pays off only if
+  // the queue takes longer than the scale-out wait.
   if (active > 0 && active >= target.spec->warm) {
     const auto wait = this->queue_time(target, target.queue.size(), now);
     if (wait <= this->limits.scale_out_wait) return;
@@ -156,8 +158,8 @@
                             time_point now) const {
   const break_even_rule rule{target.spec->cold_start_weight,
                              target.spec->idle_weight};
-  // What a reload would take, not what this load takes: an unloaded checkpoint
-  // stays in its server's memory for a while.
+  // The cost of evicting the model is that of a reload, not of this load: the
+  // checkpoint stays cached in the server's memory after the model is unloaded.
   const milliseconds reload = this->load_time(checkpoint_tier::memory);
   milliseconds keep = keep_warm_time(rule, reload, {});
   if (this->active_replicas(target, now) <= target.spec->warm) {
@@ -219,8 +221,8 @@
     if (known != this->known_servers.end() && known->second.heard(now, limit)) {
       return false;
     }
-    // A server granted just now, or named to a home that just took over, gets
-    // the time to report here first.
+    // A server that was granted just now, or that a new home has just read from
+    // the table, gets the time to report here first.
     const auto since = target.servers_since.find(id);
     return since != target.servers_since.end() && now - since->second > limit;
   };
--- a/src/decide/issued_permit.hpp
+++ b/src/decide/issued_permit.hpp
@@ -13,7 +13,7 @@
   wire::permit_request ask;
   wire::permit_answer answer;
   time_point issued_at;
-  /// When its place counts as free though nobody said how it ended.
+  /// When its slot counts as free even if the end was not reported.
   time_point gone_at;
 
   bool operator==(const issued_permit&) const = default;
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How many times `gone_after` a VM that is gone is remembered.
+/// A removed VM is forgotten after this many times `removal_delay`.
 constexpr int gone_kept = 20;
 
 }  // namespace
@@ -14,9 +14,9 @@
 membership::membership(membership_settings settings) : settings(settings) {}
 
 void membership::on_list(const std::vector<vm_info>& vms, time_point now) {
-  // A list service that lost its state answers with an empty list. Believing
-  // it would make every server look gone and free all grants at once, while
-  // the servers still hold their replicas.
+  // A list service that lost its state returns an empty list. If it were
+  // applied, every server would count as removed and all grants would be freed
+  // while the servers still hold their replicas.
   if (vms.empty()) return;
   for (auto& [id, known] : this->members) known.listed = false;
   for (const vm_info& vm : vms) {
@@ -73,13 +73,14 @@
 }
 
 bool membership::is_gone(const std::string& id, time_point now) {
-  // A VM that this process never saw listed may be newer than the list, which
-  // lags: it is watched from now on like any other.
+  // A VM that was never listed may be newer than the list, which lags. Creating
+  // its entry starts the removal delay.
   const member& known = this->members[id];
   if (known.listed || !known.missing_since) return false;
   const milliseconds needed = this->settings.gone_after;
   if (known.heard_at && now - *known.heard_at < needed) return false;
-  // The time runs to the last successful read, since failed ones prove nothing.
+  // Measured up to the last successful read: a failed read does not show that
+  // the VM is still missing.
   return *this->last_list - *known.missing_since >= needed;
 }
 
@@ -104,8 +105,8 @@
   if (this->is_leaving(known.vm.id)) return false;
   if (this->is_suspected(known.vm.id, now)) return false;
   if (known.listed) return true;
-  // Silence alone is no sign of death, as agents report to few routers; but a
-  // process that is not listed counts only for as long as it speaks.
+  // A listed process without heartbeats may be live, since agents report to few
+  // routers. An unlisted one is live only while its heartbeats arrive.
   return known.heard_at &&
          now - *known.heard_at <= this->settings.heartbeat_keep;
 }
@@ -113,8 +114,8 @@
 void membership::forget_old(time_point now) {
   std::erase_if(this->suspected_until,
                 [&](const auto& item) { return now >= item.second; });
-  // Leaving marks are kept: a stale answer of the list must not give work back
-  // to a VM that said it stops.
+  // Draining marks are kept: a stale list must not make a VM that is shutting
+  // down usable again.
   const milliseconds keep = gone_kept * this->settings.gone_after;
   std::erase_if(this->members, [&](const auto& item) {
     const member& known = item.second;
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -15,48 +15,51 @@
 
 namespace boragehill::decide {
 
-/// A process's own view of the routers and backend servers, from the
-/// platform's lagging list, direct heartbeats and its own failed calls. No two
-/// processes need to agree on it.
+/// One process's view of the routers and backend servers. It combines the
+/// platform's VM list, which lags, with heartbeats and the process's own failed
+/// calls. The views of two processes may differ.
 class membership {
  public:
   explicit membership(membership_settings settings);
 
-  /// Takes a successful read of the list. An empty one is taken for a fault of
-  /// the platform and ignored; a failed read is not passed here at all.
+  /// Applies a successful read of the VM list. An empty list is ignored as a
+  /// fault of the platform. Failed reads are not passed to this class.
   void on_list(const std::vector<vm_info>& vms, time_point now);
 
-  /// Notes a heartbeat or load report that came from the process itself.
+  /// Handles a heartbeat or load report from a process.
   void on_heartbeat(const vm_info& vm, time_point now);
 
-  /// Notes that a call to the process failed or timed out.
+  /// Handles a call to a process that failed or timed out: it is suspected for
+  /// `suspect_for`.
   void on_call_failed(const std::string& id, time_point now);
 
-  /// Notes that a call to the process was answered; ends a suspicion.
+  /// Handles a call to a process that succeeded; ends a suspicion.
   void on_call_answered(const std::string& id);
 
-  /// Notes that the process said it is leaving. Never taken back.
+  /// Marks a process that reported to be draining. The mark is permanent.
   void on_leaving(const std::string& id);
 
-  /// Returns the routers of a region that may be homes, in id order.
+  /// Returns the routers of a region that may act as homes, ordered by id.
   ///
   /// \param region The region; empty for all.
   std::vector<vm_info> live_routers(std::string_view region,
                                     time_point now) const;
 
-  /// Returns the backend servers that may get new work, in id order.
+  /// Returns the backend servers that may get new requests, ordered by id.
   std::vector<vm_info> usable_servers(time_point now) const;
 
-  /// Returns true only if successful list reads have lacked the VM for
-  /// `gone_after` and nothing was heard from it in that time. The list lags, so
-  /// the first question about a VM never listed only begins to watch for it.
+  /// Returns whether a VM is removed: for `removal_delay` it was absent from
+  /// the successful list reads and sent no heartbeat. The list lags, so for a
+  /// VM that was never listed the delay starts with the first call of this
+  /// function and the next list read.
   bool is_gone(const std::string& id, time_point now);
 
   bool is_suspected(const std::string& id, time_point now) const;
 
   bool is_leaving(const std::string& id) const;
 
-  /// Returns what the list or the VM itself said of it; nothing if neither did.
+  /// Returns the VM as listed or, if it is not listed, as in its heartbeat;
+  /// nothing if neither was received.
   std::optional<vm_info> find(const std::string& id) const;
 
  private:
@@ -64,7 +67,7 @@
     vm_info vm;
     bool listed = false;
     std::optional<time_point> heard_at;
-    /// The first of the list reads since it became known that all lack it.
+    /// The first of the consecutive list reads that do not contain it.
     std::optional<time_point> missing_since;
   };
 
--- a/src/decide/membership_settings.hpp
+++ b/src/decide/membership_settings.hpp
@@ -5,14 +5,14 @@
 
 namespace boragehill::decide {
 
-/// Bounds of `membership`.
+/// Settings of `membership`.
 struct membership_settings {
-  /// How long a process not yet listed counts as live after a heartbeat.
+  /// How long an unlisted process counts as live after a heartbeat.
   milliseconds heartbeat_keep{5000};
-  /// How long a failed call keeps a process suspected.
+  /// How long a process is suspected after a failed call.
   milliseconds suspect_for{5000};
-  /// How long list reads must lack a VM, and no heartbeat come from it, before
-  /// it is gone; longer than the list lags.
+  /// How long a VM must be absent from the list, and send no heartbeat, before
+  /// it counts as removed. Must be longer than the list lags.
   milliseconds gone_after{30000};
 
   bool operator==(const membership_settings&) const = default;
--- a/src/decide/pending_wake.hpp
+++ b/src/decide/pending_wake.hpp
@@ -8,7 +8,7 @@
 
 namespace boragehill::decide {
 
-/// A wake that was ordered and whose model is not yet reported ready.
+/// A load that was ordered and is not yet reported as ready.
 struct pending_wake {
   std::string server;
   /// Empty for the base model.
@@ -16,10 +16,10 @@
   time_point ordered_at;
   time_point expected_ready;
   checkpoint_tier tier = checkpoint_tier::remote;
-  /// Set once the agent took the order.
+  /// Whether the agent has accepted the order.
   bool accepted = false;
-  /// Set while the weight store's pacing keeps it waiting; it is ordered again
-  /// at `again_at`.
+  /// Whether it waits for the weight store's concurrency limit; it is ordered
+  /// again at `retry_at`.
   bool paced = false;
   time_point again_at;
 
--- a/src/decide/placement_choice.cpp
+++ b/src/decide/placement_choice.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// How many grants of the model stand in each place. Domains are named within
-/// their region, so that two regions may use the same names.
+/// Counts the model's grants by failure domain and region. The domain key
+/// includes the region, since two regions may use the same domain names.
 struct spread {
   std::map<std::pair<std::string, std::string>, std::uint32_t> domains;
   std::map<std::string, std::uint32_t> regions;
@@ -39,7 +39,7 @@
          static_cast<double>(server.capacity_bytes);
 }
 
-/// The rank of a candidate; lower goes first.
+/// Returns the rank of a candidate for a new grant; the lowest is chosen.
 auto rank_of(const server_view& server, const spread& standing,
              const std::string& model) {
   const auto domain =
--- a/src/decide/placement_choice.hpp
+++ b/src/decide/placement_choice.hpp
@@ -12,21 +12,21 @@
 
 /// Returns the servers that should get a new grant, best first.
 ///
-/// Each goes to the failure domain with the fewest grants, then the region with
-/// the fewest; there to a server with a nearer checkpoint, then with less
-/// granted against its capacity; ties go by rendezvous hashing. Never to a
-/// draining, suspected or too small server, nor to one that holds a grant.
-/// Grants on draining, suspected or unknown servers don't count towards
-/// `wanted` but do towards `most`.
+/// Prefers the failure domain, then the region, with the fewest grants; then
+/// the nearest checkpoint, then the lowest share of memory granted. Ties are
+/// broken by rendezvous hashing. A server that is draining, suspected, too
+/// small or already granted is not chosen. Grants on draining, suspected or
+/// unknown servers count towards `max_grants` but not towards `wanted_grants`.
 ///
-/// \return Additions only; fewer than wanted if there are too few servers.
+/// \return Only additions; fewer than wanted if there are too few servers.
 std::vector<std::string> choose_servers(const placement_request& request);
 
-/// Returns the granted server that should have the model ready soonest.
+/// Returns the granted server that is expected to have the model ready first.
 ///
-/// A ready replica goes before a loading one, before a cold one. Among cold
-/// ones a server with room, free or evictable, goes before one whose memory is
-/// all in use; then the nearer checkpoint, then free before evictable memory.
+/// A ready replica is preferred to a loading one, and that to a cold one. Of
+/// the cold ones, a server that can make room is preferred to one whose memory
+/// is all in use; then the nearest checkpoint, then free memory to memory that
+/// needs an eviction.
 ///
 /// \return Nothing if no usable server holds a grant.
 std::optional<std::string> choose_replica_to_wake(const wake_request& request);
--- a/src/decide/placement_request.hpp
+++ b/src/decide/placement_request.hpp
@@ -10,7 +10,7 @@
 
 namespace boragehill::decide {
 
-/// A backend server as placing one model sees it.
+/// A backend server as input to the placement of one model.
 struct server_view {
   std::string id;
   std::string failure_domain;
@@ -18,27 +18,28 @@
   std::string pool;
   std::uint64_t capacity_bytes = 0;
   std::uint64_t free_bytes = 0;
-  /// The sum of all grants there; may exceed the capacity.
+  /// Memory of all models granted to it; may exceed the capacity.
   std::uint64_t granted_bytes = 0;
   bool draining = false;
   bool suspected = false;
-  /// Where it would load this model's checkpoint from.
+  /// The tier that it would load the model's checkpoint from.
   checkpoint_tier tier = checkpoint_tier::remote;
 
   bool operator==(const server_view&) const = default;
 };
 
-/// What to decide: where one model's grants should stand.
+/// Input of `choose_grant_servers`: one model, its grants and the servers.
 struct placement_request {
   std::string model;
   std::uint64_t bytes = 0;
-  /// Grants wanted on servers that take new work.
+  /// Wanted number of grants on servers that accept new requests.
   std::uint32_t wanted = 1;
-  /// The most grants in all, those on draining or suspected servers included.
+  /// Maximum number of grants, including those on draining or suspected
+  /// servers.
   std::uint32_t most = std::numeric_limits<std::uint32_t>::max();
-  /// Only servers of this pool; empty for any.
+  /// Restricts the choice to servers of this pool; empty for any.
   std::string pool;
-  /// The servers that hold a grant now.
+  /// Ids of the servers that hold a grant.
   std::vector<std::string> current;
   std::vector<server_view> servers;
 
--- a/src/decide/placement_wake.hpp
+++ b/src/decide/placement_wake.hpp
@@ -12,25 +12,25 @@
 
 namespace boragehill::decide {
 
-/// A granted server as waking one model sees it.
+/// A granted server as a candidate for loading one model.
 struct wake_view {
   std::string server;
   wire::replica_state state = wire::replica_state::cold;
   checkpoint_tier tier = checkpoint_tier::remote;
   std::uint64_t free_bytes = 0;
-  /// Held by idle replicas that the wake may evict.
+  /// Memory of idle replicas that the load may evict.
   std::uint64_t evictable_bytes = 0;
-  /// Expected time to ready; set while loading.
+  /// Expected time until the replica is ready; set while it loads.
   milliseconds ready_in{0};
-  /// Requests running there, over all models.
+  /// Number of requests running there, for all models.
   std::uint32_t running = 0;
-  /// False if it is draining, suspected or its engine is down.
+  /// False if it is draining or suspected, or if its engine is down.
   bool usable = true;
 
   bool operator==(const wake_view&) const = default;
 };
 
-/// Which granted server should load a model.
+/// Input of `choose_load_server`: a model and its granted servers.
 struct wake_request {
   std::string model;
   std::uint64_t bytes = 0;
--- a/src/decide/rendezvous.cpp
+++ b/src/decide/rendezvous.cpp
@@ -8,7 +8,8 @@
 
 std::uint64_t rendezvous_weight(std::string_view node,
                                 std::string_view target) {
-  // The node's hash seeds the target's, so that no two pairs share an input.
+  // Seeding with the node's hash instead of hashing the concatenated names
+  // keeps pairs such as ("a", "bc") and ("ab", "c") apart.
   const std::uint64_t seed = XXH64(node.data(), node.size(), 0);
   return XXH64(target.data(), target.size(), seed);
 }
--- a/src/decide/rendezvous.hpp
+++ b/src/decide/rendezvous.hpp
@@ -9,18 +9,19 @@
 
 namespace boragehill::decide {
 
-/// Returns the weight of a node for a target in highest-random-weight hashing.
-/// The same on every machine and in every build.
+/// Returns the weight of a node for a target in rendezvous
+/// (highest-random-weight) hashing. It is the same on every machine and in
+/// every build, since routers of two releases must choose the same homes.
 std::uint64_t rendezvous_weight(std::string_view node, std::string_view target);
 
-/// Returns the routers that look after a target, best first, by
-/// highest-random-weight (rendezvous) hashing.
+/// Returns the routers that act as homes of a target, in order of preference by
+/// rendezvous hashing.
 ///
-///     home_order("model:valves-70b", {"r1", "r2", "r3"}, 2)
+///     rank_homes("model:valves-70b", {"r1", "r2", "r3"}, 2)
 ///
 /// \param target The model or pool, as "model:<base>" or "pool:<name>".
 /// \param routers The ids of the live routers, in any order.
-/// \param count The most to return.
+/// \param count Maximum number of routers to return.
 /// \return At most `count` ids; independent of the order of `routers`.
 std::vector<std::string> home_order(std::string_view target,
                                     std::vector<std::string> routers,
--- a/src/decide/store_pacing.cpp
+++ b/src/decide/store_pacing.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The weight of the newest load in the mean load time.
+/// Weight of the latest load in the moving average of load times.
 constexpr double newest_weight = 0.2;
 
 bool needs_slot(const paced_load& load) {
@@ -92,10 +92,10 @@
 }
 
 void store_pacing::take_back_lost_slots(time_point now) {
-  // An agent that dies in the middle of a load never reports its end. Its slot
-  // would stay taken and, after a few, no remote load would start at all. The
-  // limit is well past any load's time; a slow load past it only shares the
-  // store with one more.
+  // An agent that crashes during a load never reports its end. Without the
+  // time-out its slot would stay taken, and after a few crashes no remote load
+  // could start. The time-out is longer than any normal load; if a slow load
+  // exceeds it, one more load shares the store's bandwidth.
   std::erase_if(this->slots, [&](const auto& slot) {
     return now - slot.second > this->settings.slot_limit;
   });
@@ -121,8 +121,8 @@
   const std::size_t slots = std::max<std::size_t>(parallel, 1);
   for (milliseconds& span : left) span = std::max(span, milliseconds{0});
   std::ranges::sort(left);
-  // More may run than there are slots, as the limit is soft: those that end
-  // first free no slot.
+  // The limit is soft, so more loads may run than there are slots. The surplus
+  // ones that end first do not free a slot.
   if (left.size() > slots) {
     const auto extra = static_cast<std::ptrdiff_t>(left.size() - slots);
     left.erase(left.begin(), left.begin() + extra);
--- a/src/decide/store_pacing.hpp
+++ b/src/decide/store_pacing.hpp
@@ -14,43 +14,44 @@
 
 namespace boragehill::decide {
 
-/// Orders loads from the rate-limited weight store: a soft limit, since going
-/// past it costs time only.
+/// Queues model loads and limits how many read from the weight store at once.
+/// The limit is soft: exceeding it only slows the loads down.
 ///
-/// Loads whose deadline can still be met go first, by deadline; the others
-/// follow, by deadline. Loads from memory or disk need no slot.
+/// Loads that can still meet their deadline start first, then the others, both
+/// by earliest deadline. Loads from memory or disk need no slot.
 class store_pacing {
  public:
   explicit store_pacing(store_pacing_settings settings);
 
-  /// Queues a load; asking again for the same server and model keeps the
-  /// earlier of the two deadlines.
+  /// Queues a load. If the same server and model are queued already, the
+  /// earlier of the two deadlines is kept.
   ///
   /// \return False if the queue is full.
   bool ask(const paced_load& load);
 
-  /// Returns the loads to order now, best first; remote ones take a slot.
+  /// Removes from the queue the loads that may start now and returns them in
+  /// order of precedence. Each remote load takes a slot.
   std::vector<paced_load> start(time_point now);
 
-  /// Frees the slot of a load that ended, well or not; forgets it if it still
-  /// waits.
+  /// Frees the slot of a load that completed or failed, or removes the load
+  /// from the queue.
   ///
-  /// \param took The time it took; 0 for a load that failed.
+  /// \param took How long it took; 0 if it failed.
   void finish(const std::string& server, const std::string& model,
               milliseconds took);
 
-  /// Returns the expected wait until a remote load asked for now would start.
+  /// Returns the expected wait until a remote load queued now would start.
   ///
-  /// \param deadline The deadline that its place in the queue follows from.
+  /// \param deadline The load's deadline, which determines its queue position.
   milliseconds expected_wait(time_point deadline, time_point now) const;
 
-  /// Returns the expected time of one remote load.
+  /// Returns the expected duration of one remote load.
   milliseconds load_time() const;
 
-  /// Returns the number of loads waiting.
+  /// Returns the number of queued loads.
   std::size_t waiting() const;
 
-  /// Returns the number of slots taken.
+  /// Returns the number of slots in use.
   std::size_t running() const;
 
  private:
@@ -67,10 +68,10 @@
 
 /// Returns the expected wait of the remote load at a queue position.
 ///
-/// \param position Loads ahead of it, from 0.
-/// \param left The time left of each load that runs, in any order.
-/// \param parallel Loads at once.
-/// \param load_time The expected time of one load.
+/// \param position Number of loads ahead of it.
+/// \param left Remaining time of each running load, in any order.
+/// \param parallel Maximum number of concurrent loads.
+/// \param load_time Expected duration of one load.
 milliseconds expected_start(std::size_t position,
                             std::vector<milliseconds> left,
                             std::uint32_t parallel, milliseconds load_time);
--- a/src/decide/store_pacing_load.hpp
+++ b/src/decide/store_pacing_load.hpp
@@ -10,25 +10,25 @@
 
 namespace boragehill::decide {
 
-/// Bounds of `store_pacing`.
+/// Settings of `store_load_scheduler`.
 struct store_pacing_settings {
-  /// Remote loads at once.
+  /// Maximum number of concurrent remote loads.
   std::uint32_t parallel = 4;
-  /// The expected time of a load until some were measured.
+  /// Load time that is assumed until one was measured.
   milliseconds load_time{20000};
-  /// A slot held longer than this is taken back.
+  /// A slot held longer than this is freed.
   milliseconds slot_limit{300000};
-  /// The most loads waiting.
+  /// Maximum number of queued loads.
   std::size_t capacity = 1024;
 
   bool operator==(const store_pacing_settings&) const = default;
 };
 
-/// A load that a wake asks for.
+/// A load of a model at a server, queued in `store_load_scheduler`.
 struct paced_load {
   std::string server;
   std::string model;
-  /// The earliest deadline among the requests that wait for it.
+  /// The earliest deadline of the requests that wait for it.
   time_point deadline;
   checkpoint_tier tier = checkpoint_tier::remote;
 
--- a/src/decide/target_name.hpp
+++ b/src/decide/target_name.hpp
@@ -6,8 +6,8 @@
 
 namespace boragehill::decide {
 
-/// What a request is for, as one string: "model:<base>" or "pool:<name>". It
-/// is the key that picks the home.
+/// Prefixes of target names. A target is "model:<base>" or "pool:<name>"; its
+/// name is the key by which the home is chosen.
 inline constexpr std::string_view model_prefix = "model:";
 inline constexpr std::string_view pool_prefix = "pool:";
 
--- a/src/decide/waiting_request.hpp
+++ b/src/decide/waiting_request.hpp
@@ -14,13 +14,13 @@
   wire::permit_request ask;
   time_point deadline;
   time_point queued_at;
-  /// Grows with each request of this home; settles ties.
+  /// Order of arrival at this home; breaks ties.
   std::uint64_t order = 0;
 
   bool operator==(const waiting_request&) const = default;
 };
 
-/// Earliest deadline first, then priority, then arrival.
+/// Orders by earliest deadline, then highest priority, then arrival.
 struct by_deadline {
   bool operator()(const waiting_request& a, const waiting_request& b) const {
     if (a.deadline != b.deadline) return a.deadline < b.deadline;
--- a/test/decide-test/home_load_test.cpp
+++ b/test/decide-test/home_load_test.cpp
@@ -45,10 +45,10 @@
 
 }  // namespace
 
-// Callers wait for seconds beside an idle backend server. It is full when it
-// reports; its requests end a moment later and their places are free. The
-// report's count, half a second old, was taken for the load until the next one,
-// so a busy server ran its slots' worth of requests only once a report.
+// Guards against requests that wait beside an idle server. The server is full
+// when it reports and its requests end shortly after. If the count of running
+// requests in the report, up to half a second old, is used until the next one,
+// a busy server fills its slots only once per report.
 TEST(home_load_test, gives_freed_places_away_before_the_next_report) {
   home valves = home_with_server(0);
   ASSERT_TRUE(is_granted(valves.request(ask("r1.1.1"), at(1))));
--- a/test/decide-test/home_test.cpp
+++ b/test/decide-test/home_test.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds second{1000};
 const std::string target = "model:m";
 
-/// One home of the model "m", on virtual time.
+/// A home with the one model "m", on a simulated clock.
 struct bench {
   explicit bench(home_settings settings = {}, profile_model wanted = {})
       : h(settings, {}) {
@@ -91,8 +91,8 @@
 using names = std::vector<std::string>;
 
 TEST(home_test, orders_one_wake_for_a_burst_and_then_serves_it) {
-  // Thirty callers come at once to a cold model; each sees a load of its own
-  // queue up behind the others when every request orders a wake.
+  // Guards against one load order for each request when 30 requests arrive at
+  // once for a model that is not loaded.
   bench b;
   b.h.on_servers(target, {"s1"}, b.now);
   b.report("s1", replica_state::cold, 64);
@@ -135,8 +135,8 @@
 }
 
 TEST(home_test, refuses_at_once_when_the_measured_load_is_too_long) {
-  // A caller with two seconds waits them out for a model whose load takes
-  // twenty: it hears "deadline passed" only when its time is gone.
+  // Guards against a request with 2 s left that waits in vain for a model whose
+  // load takes 20 s, instead of being refused at once.
   bench b;
   b.h.on_servers(target, {"s1"}, b.now);
   b.report("s1", replica_state::cold);
@@ -220,8 +220,8 @@
 }
 
 TEST(home_test, tells_a_permit_again_when_the_waiting_entry_renews) {
-  // A request waits until its deadline at an idle replica: the message that
-  // its turn came was lost, and nobody repeats it.
+  // Guards against a request that waits until its deadline beside an idle
+  // replica because the message with its permit was lost.
   bench b;
   b.h.on_servers(target, {"s1"}, b.now);
   b.ask("a");
@@ -234,9 +234,9 @@
 }
 
 TEST(home_test, runs_a_struck_request_alone_and_convicts_only_then) {
-  // A request that crashes servers drags an innocent one along, and both are
-  // refused for good. The crash of a shared server strikes both; only one that
-  // crashed a server with nothing beside it is convicted.
+  // Guards against a harmless request being quarantined with a poison request
+  // that ran on the same server. A crash implicates both; only a request that
+  // crashes a server while it runs alone is quarantined.
   bench b({}, {.replicas = 2, .max_replicas = 2});
   b.h.on_servers(target, {"s1", "s2"}, b.now);
   b.report("s1", replica_state::ready);
--- a/test/decide-test/membership_test.cpp
+++ b/test/decide-test/membership_test.cpp
@@ -41,8 +41,8 @@
 }
 
 TEST(membership_test, keeps_the_old_list_when_an_empty_one_arrives) {
-  // The list service restarts and answers with nothing for a while. All grants
-  // would be freed and given again while the servers still hold their models.
+  // Guards against freeing and reassigning all grants, while the servers still
+  // hold their models, when a restarted list service returns an empty list.
   membership view({});
   view.on_list({server("s")}, start);
   for (int ms = 0; ms < 100000; ms += 1000) view.on_list({}, at(ms));
@@ -63,8 +63,8 @@
 }
 
 TEST(membership_test, never_takes_a_leaving_mark_back) {
-  // A VM that is being reclaimed gets new work: it said that it leaves, but
-  // the list lags and shows it as live for seconds more.
+  // Guards against new requests for a VM that is being reclaimed: it reported
+  // to be draining, but the lagging list shows it as live for some seconds.
   membership view({});
   view.on_leaving("s");
   view.on_list({server("s")}, start);
@@ -101,9 +101,9 @@
 }
 
 TEST(membership_test, watches_a_server_that_only_a_row_names) {
-  // A home that started after a server died finds its grant in the row. It
-  // must free the grant in the end, but not that of a server newer than the
-  // list.
+  // A home that started after a server was lost finds the server's grant in the
+  // model's row. It must free that grant eventually, but not the grant of a
+  // server that is too new to be listed.
   membership view({});
   view.on_list({server("t")}, start);
   view.on_list({server("t")}, at(90000));
--- a/test/decide-test/placement_choice_test.cpp
+++ b/test/decide-test/placement_choice_test.cpp
@@ -51,8 +51,9 @@
 }
 
 TEST(placement_choice_test, replaces_a_suspected_server_within_the_most) {
-  // A server stops answering; its replica may still be loaded, so its grant
-  // stands and a further one brings the model back, up to the operator's most.
+  // The replica of a server that stopped responding may still be loaded, so its
+  // grant is kept. A further grant restores the model, up to the configured
+  // maximum.
   server_view silent = server_in("s1", "a");
   silent.suspected = true;
   placement_request request{.model = "m",
@@ -109,7 +110,7 @@
 
 TEST(placement_choice_test, wakes_the_replica_that_is_ready_soonest) {
   using wire::replica_state;
-  // From best to worst.
+  // In order of preference.
   const std::vector<wake_view> ranked{
       {.server = "ready", .state = replica_state::ready},
       {.server = "soon",
--- a/test/decide-test/rendezvous_test.cpp
+++ b/test/decide-test/rendezvous_test.cpp
@@ -19,7 +19,7 @@
 }
 
 TEST(rendezvous_test, keeps_its_weights_between_builds) {
-  // Routers of two releases must choose the same homes in a rolling update.
+  // Routers of two releases must choose the same homes during a rolling update.
   EXPECT_EQ(rendezvous_weight("r1", "model:m"), 7808149554885964221ULL);
 }
 
--- a/test/decide-test/store_pacing_test.cpp
+++ b/test/decide-test/store_pacing_test.cpp
@@ -59,8 +59,8 @@
 }
 
 TEST(store_pacing_test, takes_back_the_slot_of_a_load_that_never_ended) {
-  // No cold model wakes any more though the weight store is idle: agents died
-  // in the middle of their loads, and their slots were never given back.
+  // Guards against slots that are never freed when agents crash during a load:
+  // in the end no model could be loaded although the weight store is idle.
   store_pacing pacing = two_at_once();
   pacing.ask(load_by("a", 2000));
   pacing.ask(load_by("b", 2000));
