--- a/src/decide/catalog.hpp
+++ b/src/decide/catalog.hpp
@@ -13,10 +13,10 @@
 
 namespace boragehill::decide {
 
-/// Everything published at one revision, indexed for the request path.
+/// The profiles published at one revision, indexed for the request path.
 ///
-/// A value: a new revision makes a new catalog, and requests that began under
-/// the old one end under it.
+/// A catalog is immutable: each revision gets a new one, and requests finish
+/// under the catalog with which they began.
 class catalog {
  public:
   catalog() = default;
@@ -24,19 +24,19 @@
   /// Indexes the profiles of one revision.
   ///
   /// \param revision The global revision.
-  /// \param profiles All profiles in force at it.
+  /// \param profiles All profiles in force at this revision.
   catalog(std::uint64_t revision, std::vector<profile> profiles);
 
   std::uint64_t revision() const { return this->number; }
   const std::vector<profile>& profiles() const { return this->all; }
 
-  /// Returns the profile that a service picked; null if none names it.
+  /// Returns the profile that lists a service; null if none does.
   const profile* profile_of(std::string_view service) const;
 
-  /// Returns what the profiles ask for a model; null if none names it.
+  /// Returns the requirements for a model; null if no profile lists it.
   const model_spec* spec_of(std::string_view model) const;
 
-  /// Returns every model's spec by name.
+  /// Returns the requirements for all models, by name.
   const std::map<std::string, model_spec, std::less<>>& models() const {
     return this->specs;
   }
@@ -59,7 +59,7 @@
 /// Returns whether a profile allows a pool of plain services.
 bool allows_pool(const profile& owner, std::string_view pool);
 
-/// Returns whether a profile says that a call may run once only.
+/// Returns whether a profile declares a call as non-idempotent.
 bool is_non_idempotent(const profile& owner, std::string_view method,
                        std::string_view path);
 
--- a/src/decide/eviction.cpp
+++ b/src/decide/eviction.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Above any sum of reload times, so one kept warm goes last.
+/// Added to the cost of a candidate with a negative keep-warm time. Exceeds any
+/// sum of reload times, so that such a candidate is evicted last.
 constexpr double pinned_loss = 1e12;
 
 struct weighed {
--- a/src/decide/eviction.hpp
+++ b/src/decide/eviction.hpp
@@ -10,33 +10,34 @@
 
 namespace boragehill::decide {
 
-/// An idle replica or adapter that a load may push out.
+/// An idle replica or adapter that may be evicted to make room for a load.
 struct eviction_candidate {
   std::string name;
-  /// What its unload frees, adapters included.
+  /// Memory that its unload frees, including its adapters.
   std::uint64_t bytes = 0;
   time_point last_used{};
-  /// Its keep-warm time, which carries the weights of its profile; negative
-  /// for one that is kept loaded for as long as its grant stands.
+  /// Keep-warm time, which reflects the weights of its profile; negative: it is
+  /// kept loaded as long as it is granted.
   milliseconds keep_warm{0};
-  /// What another load would take, by the tier of its checkpoint.
+  /// Time to load it again, by the tier of its checkpoint.
   milliseconds reload{0};
 
   bool operator==(const eviction_candidate&) const = default;
 };
 
-/// Returns the expected cost of evicting a candidate, in milliseconds of
-/// waiting: its reload time, times the chance of a next request, which falls
-/// with the idle time measured against the keep-warm time.
+/// Returns the expected cost of an eviction, in milliseconds of waiting.
+///
+/// The cost is the reload time times the probability of another request, which
+/// is estimated as exp(-idle time / keep-warm time).
 double expected_loss(const eviction_candidate& candidate, time_point now);
 
-/// Picks the replica to unload first so that `needed` bytes come free at the
-/// least expected loss.
+/// Chooses the candidate to unload first, so that `needed` bytes become free at
+/// the least expected cost.
 ///
-/// \param candidates Idle ones only.
-/// \param needed Bytes that must come free; more than 0.
-/// \param now The time.
-/// \return Its name; nothing if all of them together do not free enough.
+/// \param candidates Idle replicas and adapters.
+/// \param needed Bytes to free; more than 0.
+/// \param now The current time.
+/// \return Its name; nothing if all candidates together free too little.
 std::optional<std::string> choose_victim(
     const std::vector<eviction_candidate>& candidates, std::uint64_t needed,
     time_point now);
--- a/src/decide/grant_acknowledgement.hpp
+++ b/src/decide/grant_acknowledgement.hpp
@@ -5,12 +5,12 @@
 
 namespace boragehill::decide {
 
-/// An agent's word that it gave one grant up: it unloaded the model and will
-/// not load it again under that grant.
+/// Confirms that an agent gave up a grant: it unloaded the model and will not
+/// load it again under this grant.
 struct grant_acknowledgement {
-  /// The agent's fencing number.
+  /// Fencing number of the agent.
   std::uint64_t fence = 0;
-  /// The grant's serial.
+  /// Serial of the grant.
   std::uint64_t serial = 0;
 
   bool operator==(const grant_acknowledgement&) const = default;
--- a/src/decide/grant_change.cpp
+++ b/src/decide/grant_change.cpp
@@ -16,8 +16,8 @@
          row.grants.end();
 }
 
-/// Takes the grant out of both rows; one of them may lack it after a row was
-/// mended by hand.
+/// Removes the grant from both rows. One of them may lack it if an operator
+/// repaired a row by hand.
 std::optional<grant_change> without(const placement& model_row,
                                     const server_record& server_row,
                                     const std::string& model) {
@@ -57,15 +57,15 @@
                                          const server_record& server_row,
                                          const std::string& model,
                                          const grant_acknowledgement& given) {
-  // An acknowledgement can outlive its agent: the agent gives the grant up,
-  // restarts, reads the row where the grant still stands and loads again. If
-  // the home then took the grant away, one replica too many would be loaded.
-  // The restart raised the fence before it read, so the old number shows it;
-  // a restart after this check fails the transaction by the row's etag.
+  // An acknowledgement can arrive after its agent restarted, found the grant
+  // still in the row and loaded the model again. Removing the grant then would
+  // leave one replica too many. A restart raises the fencing number before it
+  // reads the row, so the acknowledgement's number is outdated; after a restart
+  // that follows this check, the row's etag fails the transaction.
   if (server_row.fence != given.fence) return std::nullopt;
-  // It can also outlive its grant: one home removed the grant and gave the same
-  // server a new one, and the message reaches another home late. Taken for the
-  // new grant's, it would free a replica's place while it is loaded.
+  // It can also arrive late at another home, after one home removed the grant
+  // and granted the same server a new one. Applied to the new grant, it would
+  // remove the grant of a loaded replica.
   const auto held = std::ranges::find(server_row.grants, model, &grant::model);
   const bool other =
       held != server_row.grants.end() && held->serial != given.serial;
--- a/src/decide/grant_change.hpp
+++ b/src/decide/grant_change.hpp
@@ -13,8 +13,8 @@
 
 namespace boragehill::decide {
 
-/// The new values of the two rows that one transaction writes, guarded by the
-/// etags under which both were read.
+/// The new values of the two rows of a grant. One transaction writes both, on
+/// condition that their etags have not changed since they were read.
 struct grant_change {
   placement model_row;
   server_record server_row;
@@ -24,29 +24,31 @@
 
 /// Returns the rows with a grant added.
 ///
-/// \param model_row `placement/<model>` as read; empty `servers` if it is new.
+/// \param model_row `placement/<model>` as read; `servers` is empty if the row
+///   is new.
 /// \param server_row `server/<id>` as read.
-/// \param added The grant; its model is the placement's.
-/// \return Nothing if the grant stands in both rows already, the models differ,
-///   or the grant alone exceeds the server's capacity.
+/// \param added The grant to add.
+/// \return Nothing if both rows already contain the grant, the models differ,
+/// or
+///   the grant alone exceeds the server's capacity.
 std::optional<grant_change> add_grant(const placement& model_row,
                                       const server_record& server_row,
                                       const grant& added);
 
-/// Returns the rows without a grant that the server's agent gave up.
+/// Returns the rows with a grant removed that the server's agent gave up.
 ///
-/// \param given_up The acknowledgement.
-/// \return Nothing if the row's fence or the grant's serial differs, or if
-///   neither row holds the grant.
+/// \param given_up The agent's acknowledgement.
+/// \return Nothing if the fencing number in the row or the grant's serial
+///   differs, or neither row contains the grant.
 std::optional<grant_change> remove_grant(const placement& model_row,
                                          const server_record& server_row,
                                          const std::string& model,
                                          const grant_acknowledgement& given_up);
 
-/// Returns the rows without a grant of a VM that the platform's list no longer
-/// holds and that does not answer; no acknowledgement is asked for.
+/// Returns the rows with a grant removed whose VM is no longer in the
+/// platform's list and does not respond. No acknowledgement is required.
 ///
-/// \return Nothing if neither row holds the grant.
+/// \return Nothing if neither row contains the grant.
 std::optional<grant_change> remove_gone(const placement& model_row,
                                         const server_record& server_row,
                                         const std::string& model);
--- a/src/decide/keep_warm.hpp
+++ b/src/decide/keep_warm.hpp
@@ -10,9 +10,9 @@
 
 namespace boragehill::decide {
 
-/// Ski-rental break-even: stays loaded until the weighted idle time has cost
-/// as much as the weighted wait of another load, which bounds the cost by twice
-/// that of knowing the next request.
+/// Ski-rental (break-even) rule: keeps a model loaded until the weighted idle
+/// time equals the weighted time of another load. The cost is at most twice
+/// that of an optimal choice made with knowledge of the next request.
 struct break_even_rule {
   double cold_start_weight = 1.0;
   double idle_weight = 1.0;
@@ -20,34 +20,36 @@
   bool operator==(const break_even_rule&) const = default;
 };
 
-/// The same time for every model.
+/// Keeps every model loaded for the same time.
 struct fixed_timer_rule {
   milliseconds time{0};
 
   bool operator==(const fixed_timer_rule&) const = default;
 };
 
-/// Stays loaded for as long as this share of the model's gaps lasted.
+/// Keeps a model loaded for a quantile of the gaps between its requests.
 struct histogram_rule {
   double share = 0.9;
-  /// Used until enough gaps were seen, and the limit of the time.
+  /// Upper limit; also the time used until enough gaps were counted.
   milliseconds most{0};
 
   bool operator==(const histogram_rule&) const = default;
 };
 
-/// How a home chooses a model's keep-warm time.
+/// How a home determines a model's keep-warm time.
 using keep_warm_rule =
     std::variant<break_even_rule, fixed_timer_rule, histogram_rule>;
 
-/// The gaps between one model's requests, in classes that double.
+/// Histogram of the gaps between one model's requests; bucket i counts gaps of
+/// up to 2^i ms, the last one also all longer gaps.
 class gap_histogram {
  public:
-  /// Counts one gap between the end of a request and the next.
+  /// Counts a gap between the end of one request and the start of the next.
   void add(milliseconds gap);
-  /// Returns how many gaps were counted.
   std::uint64_t count() const { return this->total; }
-  /// Returns the upper bound of the class that holds the share's quantile.
+  /// Returns the upper bound of the bucket that contains a quantile.
+  ///
+  /// \param share The quantile, from 0 to 1.
   milliseconds quantile(double share) const;
 
  private:
@@ -59,16 +61,16 @@
 /// Returns how long an idle replica stays loaded after its last request.
 ///
 /// \param rule The rule and its weights.
-/// \param load What another load would take.
-/// \param gaps The model's gaps so far.
+/// \param load Time to load the model again.
+/// \param gaps Gaps between the model's requests so far.
 milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load,
                             const gap_histogram& gaps);
 
 /// Returns whether an idle replica is past its keep-warm time.
 ///
-/// \param keep_warm Negative for one that stays while its grant stands.
+/// \param keep_warm Its keep-warm time; negative: it never expires.
 /// \param last_used When its last request ended.
-/// \param now The time.
+/// \param now The current time.
 bool past_keep_warm(milliseconds keep_warm, time_point last_used,
                     time_point now);
 
--- a/src/decide/memory_ledger.hpp
+++ b/src/decide/memory_ledger.hpp
@@ -7,36 +7,38 @@
 
 namespace boragehill::decide {
 
-/// Accelerator memory of one backend server, by model ("base") or adapter
-/// ("base:adapter"). Memory is reserved before a load is ordered and released
-/// only once the engine confirmed the unload, so that loads, unloads under way
-/// and orders of unknown outcome all count.
+/// Reservations of accelerator memory on one backend server, by model ("base")
+/// or adapter ("base:adapter").
+///
+/// Memory is reserved before a load is ordered and released only once the
+/// engine confirmed the unload. Loads and unloads in progress and orders of
+/// unknown outcome are thus included.
 class memory_ledger {
  public:
-  /// \param capacity_bytes What the engine has; 0 until it was asked.
+  /// \param capacity_bytes The engine's memory; 0 until its state was read.
   explicit memory_ledger(std::uint64_t capacity_bytes = 0);
 
-  /// Reserves memory for a name that holds none yet.
+  /// Reserves memory for a name without a reservation.
   ///
-  /// \return False, and nothing changes, if it does not fit or the name is
-  ///   reserved already.
+  /// \return False, without a change, if the memory is not free or the name
+  ///   has a reservation.
   bool reserve(const std::string& name, std::uint64_t bytes);
 
-  /// Gives a name's memory back; unknown names are ignored.
+  /// Releases the reservation of a name, if there is one.
   void release(const std::string& name);
 
-  /// Takes what an engine says it holds, whether or not it fits.
+  /// Sets a name's reservation to what the engine reports, even beyond the
+  /// capacity.
   void adopt(const std::string& name, std::uint64_t bytes);
 
-  /// Returns the capacity in bytes.
   std::uint64_t capacity() const { return this->capacity_bytes; }
   /// Returns the sum of all reservations in bytes.
   std::uint64_t reserved() const { return this->reserved_bytes; }
-  /// Returns the bytes that may still be reserved.
+  /// Returns the bytes without a reservation.
   std::uint64_t free() const;
-  /// Returns the bytes reserved for a name, 0 if there are none.
+  /// Returns the bytes reserved for a name, 0 without a reservation.
   std::uint64_t bytes_of(const std::string& name) const;
-  /// Returns whether a name is reserved.
+  /// Returns whether a name has a reservation.
   bool holds(const std::string& name) const;
   /// Returns the reservations by name, in bytes.
   const std::map<std::string, std::uint64_t>& entries() const {
--- a/src/decide/model_spec.hpp
+++ b/src/decide/model_spec.hpp
@@ -6,16 +6,16 @@
 
 namespace boragehill::decide {
 
-/// What all profiles in force together ask for one model.
+/// Requirements for one model, combined over all profiles in force.
 struct model_spec {
   std::string name;
   std::uint64_t bytes = 0;
   std::uint64_t adapter_bytes = 0;
-  /// Grants written ahead of need.
+  /// Grants written in advance, without any demand.
   std::uint32_t replicas = 1;
-  /// The most grants that load may raise the number to.
+  /// Upper limit of the grants when demand adds more.
   std::uint32_t max_replicas = 1;
-  /// Replicas kept loaded though nobody calls.
+  /// Replicas kept loaded without requests.
   std::uint32_t warm = 0;
   double cold_start_weight = 1.0;
   double idle_weight = 1.0;
--- a/src/decide/name_list.hpp
+++ b/src/decide/name_list.hpp
@@ -7,7 +7,7 @@
 
 namespace boragehill::decide {
 
-/// Returns whether a list of names holds one.
+/// Returns whether a list contains a name.
 inline bool contains(const std::vector<std::string>& list,
                      const std::string& name) {
   return std::find(list.begin(), list.end(), name) != list.end();
--- a/src/decide/residency.cpp
+++ b/src/decide/residency.cpp
@@ -79,9 +79,9 @@
     return;
   }
   if (record.fence < this->fence) return;
-  // A grant outlives its giving up in a reading that was sent before: the row
-  // still shows it, the home removes it and grants it elsewhere, and a load
-  // here would be one replica too many. Such a reading is dropped.
+  // A read sent before a grant was given up still shows the grant. The home may
+  // since have granted the model elsewhere, so a load here would be one replica
+  // too many. Such a read is discarded.
   if (read_began <= this->last_give_up || this->grants_hinted) {
     this->grants_hinted = false;
     this->request_grants();
@@ -94,8 +94,8 @@
     this->grants.emplace(item.model, item.bytes);
     this->serials.emplace(item.model, item.serial);
   }
-  // A given-up grant stays unusable until the row no longer shows it, or shows
-  // a later one: the home may act on the acknowledgement at any time.
+  // A given-up grant stays unusable until it is no longer in the row or has a
+  // later serial: the home may act on the acknowledgement at any time.
   std::erase_if(this->given_back, [this](const auto& given) {
     const auto shown = this->serials.find(given.first);
     return shown == this->serials.end() || shown->second != given.second;
@@ -219,7 +219,7 @@
 }
 
 bool residency::granted(const std::string& model) const {
-  // Before the row was read, what the engine holds is served as it is.
+  // Until the row was read, every loaded model is served.
   if (!this->grants_known) return !this->given_back.contains(model);
   return this->grants.contains(model);
 }
@@ -253,15 +253,15 @@
 void residency::settle(const engine_state& state, bool restarted,
                        time_point now) {
   if (!this->order_unknown()) return;
-  // An order on its way survives a restart of the engine: it may reach the
-  // new process, which holds nothing of the old one's, so an absent model is
-  // then no sign that an unload was carried out.
+  // An order in transit may reach the new engine process after a restart. That
+  // process starts empty, so a missing model then does not show that the unload
+  // was executed.
   if (restarted) this->outstanding->engine_restarted = true;
   if (this->settled_as_done(state)) return this->finish_order(true, now);
   if (this->still_working(state)) return;
-  // The answer was lost and the state shows nothing of the order: it may
-  // still be under way to the engine. Its memory stays reserved until the
-  // longest delivery time has passed.
+  // The response was lost and the state shows no effect of the order, which may
+  // still be in transit. Its memory stays reserved until the maximum delivery
+  // time has passed.
   const time_point since = *this->outstanding->unknown_since;
   if (now - since < this->settings.wait_out) return;
   this->finish_order(false, now);
@@ -295,8 +295,8 @@
     if (is_new) held.last_used = now;
     held.bytes = next.bytes_of(model.name);
     held.state = replica_state_of(model.state);
-    // An unload of unknown outcome may still arrive and would cut off what
-    // was admitted meanwhile; the replica stays closed until it is settled.
+    // An unload of unknown outcome may still arrive and would abort attempts
+    // admitted meanwhile, so none are admitted until the outcome is known.
     if (this->unload_pending(model.name)) {
       held.state = replica_state::unloading;
     }
--- a/src/decide/residency.hpp
+++ b/src/decide/residency.hpp
@@ -29,102 +29,106 @@
 
 namespace boragehill::decide {
 
-/// The name in the order that carries a new fencing number to an engine; no
-/// model has it.
+/// Model name in the unload order that makes an engine learn a new fencing
+/// number. No model has this name.
 inline constexpr char fence_probe_name[] = "-fence-";
 
-/// What one engine holds, and the single order that goes to it next.
+/// Tracks what one engine holds and chooses the next order for it.
 ///
-/// A state machine without I/O: its shell feeds the inputs, and after each
-/// one carries out `take_actions()`. At most one engine call (an order or a
-/// reading of the state) is under way at a time, so a state that was read is
-/// never older than an order's answer.
+/// A state machine without I/O: the caller passes in events and carries out
+/// `take_actions()` after each one. At most one engine call (an order or a
+/// state read) is in flight at a time, so that a state read is never older
+/// than the response to an order.
 ///
-/// No order goes out before the own fencing number was taken, the grants and
-/// the engine's state were read, and no order of an earlier start can arrive
-/// any more. Until then the engine's models are served as they are.
+/// No order is issued until this agent has taken a fencing number, the grants
+/// and the engine's state have been read, and no order of an earlier agent
+/// process can still arrive. Until then the loaded models are served as is.
 class residency {
  public:
-  /// \param settings The limits.
-  /// \param started When this agent started.
+  /// \param settings Intervals and limits.
+  /// \param started When this agent process started.
   residency(residency_settings settings, time_point started);
 
-  /// The fencing number of this start stands in the table.
+  /// This agent's fencing number was written to the table.
   void on_fence_taken(std::uint64_t fence, time_point now);
 
-  /// The engine's state, as `read_engine_state` asked.
+  /// Handles the response to `read_engine_state`.
   void on_engine_state(const engine_state& state, time_point now);
 
-  /// The engine did not answer `read_engine_state`.
+  /// The engine did not respond to `read_engine_state`.
   void on_engine_lost(time_point now);
 
-  /// The own row, as `read_grants` asked.
+  /// Handles the response to `read_grants`.
   ///
-  /// \param record The row.
-  /// \param read_began When the reading was sent off.
-  /// \param now The time.
+  /// \param record This server's row.
+  /// \param read_began When the read was sent.
+  /// \param now The current time.
   void on_grants(const server_record& record, time_point read_began,
                  time_point now);
 
-  /// Someone says that the row changed.
+  /// This server's row may have changed; reads it again.
   void on_grants_hint(time_point now);
 
-  /// A home asks for a model.
+  /// Handles a home's request to load a model on demand.
   residency_wake_outcome on_wake(const residency_wake& wake, time_point now);
 
-  /// A home asks for a grant back.
+  /// A home wants a grant back: unloads the model and gives the grant up.
   void on_retire(const std::string& model, time_point now);
 
-  /// An order's answer; `error` is empty if it was carried out.
+  /// Handles the response to an order; `error` is empty if it succeeded.
   void on_order_done(const engine_order& order, std::error_code error,
                      time_point now);
 
-  /// Returns whether an attempt can run on a model now, changing nothing: ok,
-  /// engine_down, no_grant or model_not_ready.
+  /// Checks whether an attempt can run on a model now.
+  ///
+  /// \return ok, engine_down, no_grant or model_not_ready.
   result_code usable(const std::string& model,
                      const std::string& adapter) const;
 
-  /// An attempt for which `usable` said ok begins.
+  /// An attempt for which `check_usable` returned ok begins.
   void on_use_began(const std::string& model, const std::string& adapter,
                     time_point now);
 
-  /// That attempt has ended, whatever became of the engine meanwhile.
+  /// That attempt ended; called even if the engine restarted meanwhile.
   void on_use_ended(const std::string& model, const std::string& adapter,
                     time_point now);
 
-  /// A running attempt's connection to the engine broke: look at once.
+  /// The connection of a running attempt to the engine broke: reads the
+  /// engine's state at once.
   void on_engine_suspected(time_point now);
 
-  /// Loads nothing more.
+  /// Stops loading models.
   void drain() { this->draining = true; }
 
-  /// Time passes; to be called several times a second.
+  /// Advances the time; call it several times a second.
   void tick(time_point now);
 
-  /// Returns what the shell is to do, once.
+  /// Returns the pending actions and clears them.
   std::vector<residency_action> take_actions();
 
-  /// Returns every granted or held model, for reports.
+  /// Returns a report on every model that is granted or loaded.
   std::vector<wire::replica_report> replicas(time_point now) const;
-  /// Returns the models given back whose grant may still stand in the row.
+  /// Returns the models whose grant was given up but may still be in the row,
+  /// with the grant's serial.
   const std::map<std::string, std::uint64_t>& given_up() const {
     return this->given_back;
   }
-  /// Returns the memory that idle replicas hold and a wake may take.
+  /// Returns the bytes that a load on demand may free by evicting idle
+  /// replicas.
   std::uint64_t evictable_bytes(time_point now) const;
-  /// Returns how many models are loaded with nothing running on them.
+  /// Returns the number of loaded models without a running attempt.
   std::uint32_t idle_replicas() const;
-  /// Returns the reservations.
+  /// Returns the memory reservations.
   const memory_ledger& ledger() const { return this->memory; }
-  /// Returns the engine's last account of itself.
+  /// Returns the engine's state as last read.
   const engine_state& engine() const { return this->last_state; }
-  /// Returns whether the engine answered last time.
+  /// Returns whether the engine responded to the last call.
   bool engine_up() const { return this->up; }
-  /// Returns whether a model may be held under the grants last read.
+  /// Returns whether the grants last read allow a model.
   bool granted(const std::string& model) const;
-  /// Returns whether an order's outcome is not known.
+  /// Returns whether the outstanding order may or may not have been executed.
   bool order_unknown() const;
-  /// Returns where a checkpoint would be loaded from.
+  /// Returns the tier from which a checkpoint would be loaded.
   checkpoint_tier tier_of(const std::string& name) const;
 
  private:
@@ -143,7 +147,7 @@
     order_reason reason;
   };
 
-  // Inputs.
+  // Event handling.
   void proceed(time_point now);
   void request_grants();
   void settle(const engine_state& state, bool restarted, time_point now);
@@ -162,7 +166,7 @@
   void end_use(const std::string& name, time_point now);
   void forget_if_unused(const std::string& name);
 
-  // Choice of the next order.
+  // Selection of the next order.
   bool may_order(time_point now) const;
   bool old_orders_gone(time_point now) const;
   std::optional<next_order> choose_order(time_point now) const;
@@ -199,7 +203,8 @@
   engine_state last_state;
   engine_call call = engine_call::none;
   time_point next_state_read{};
-  /// Holds back the repetition of an unload that the engine refused.
+  /// No unload is issued before this time. Delays the retry of an unload that
+  /// the engine refused.
   time_point next_unload{};
   std::optional<outstanding_order> outstanding;
   bool grants_known = false;
@@ -208,7 +213,7 @@
   time_point next_grants_read{};
   time_point last_give_up = time_point::min();
   std::map<std::string, std::uint64_t> grants;
-  /// Serials of the grants last read, and of those given up since.
+  /// Serials of the grants last read; below, of the grants given up since.
   std::map<std::string, std::uint64_t> serials;
   std::map<std::string, std::uint64_t> given_back;
   std::map<std::string, residency_holding> holdings;
--- a/src/decide/residency_action.hpp
+++ b/src/decide/residency_action.hpp
@@ -9,7 +9,7 @@
 
 namespace boragehill::decide {
 
-/// Why an order goes out; the agent's log and metrics show it.
+/// Why an order is issued; appears in the agent's log and metrics.
 enum class order_reason {
   wake,
   evicted,
@@ -19,7 +19,7 @@
   fence_engine,
 };
 
-/// Returns the reason's name for logs and metric labels.
+/// Returns the reason as written to logs and metric labels.
 constexpr std::string_view name_of(order_reason reason) noexcept {
   switch (reason) {
     case order_reason::wake:
@@ -38,7 +38,7 @@
   return "fence_engine";
 }
 
-/// Send this order; answer with `residency::on_order_done`.
+/// Send this order and report the response to `residency::on_order_done`.
 struct send_order {
   engine_order order;
   order_reason reason = order_reason::wake;
@@ -46,42 +46,44 @@
   bool operator==(const send_order&) const = default;
 };
 
-/// Read the engine's state; answer with `on_engine_state` or
-/// `on_engine_lost`.
+/// Read the engine's state and report the response to `on_engine_state`, or
+/// its absence to `on_engine_unresponsive`.
 struct read_engine_state {
   bool operator==(const read_engine_state&) const = default;
 };
 
-/// Read the own row until it works; answer with `on_grants`.
+/// Read this server's row, retrying until that succeeds, and report it to
+/// `on_grants`.
 struct read_grants {
   bool operator==(const read_grants&) const = default;
 };
 
-/// The model is unloaded and its grant given back: acknowledge it.
+/// Acknowledge that the model is unloaded and its grant given up.
 struct note_given_up {
   std::string model;
 
   bool operator==(const note_given_up&) const = default;
 };
 
-/// A model's state changed: tell its homes at once.
+/// Report a model's changed state to its homes at once.
 struct note_changed {
   std::string model;
 
   bool operator==(const note_changed&) const = default;
 };
 
-/// The engine process is another one and holds nothing of the former.
+/// The engine process restarted and holds none of the earlier models.
 struct note_engine_restarted {
   bool operator==(const note_engine_restarted&) const = default;
 };
 
-/// A later start of this agent has taken over: order and admit nothing more.
+/// A later process of this agent took over: issue no more orders and admit no
+/// more attempts.
 struct note_overtaken {
   bool operator==(const note_overtaken&) const = default;
 };
 
-/// What the state machine asks its shell to do.
+/// An action that `residency` requests from its caller.
 using residency_action =
     std::variant<send_order, read_engine_state, read_grants, note_given_up,
                  note_changed, note_engine_restarted, note_overtaken>;
--- a/src/decide/residency_choice.hpp
+++ b/src/decide/residency_choice.hpp
@@ -8,16 +8,16 @@
 
 namespace boragehill::decide {
 
-/// A worker for a model, with what has to go for it.
+/// A worker on which to load a model, and what to evict there for it.
 struct residency_planner::choice {
   std::string worker;
   const fleet::model* model = nullptr;
   std::vector<std::string> victims;
   milliseconds time{0};
   bool from_store = false;
-  /// In seconds of waiting, over all requests.
+  /// Expected cost in seconds of waiting, summed over all requests.
   double cost = 0;
-  /// The part of it that the victims' requests pay.
+  /// The part of `cost_seconds` that falls on requests for evicted models.
   double loss = 0;
 };
 
--- a/src/decide/residency_holding.hpp
+++ b/src/decide/residency_holding.hpp
@@ -10,30 +10,30 @@
 
 namespace boragehill::decide {
 
-/// A base model or adapter as its agent's residency keeps it.
+/// State of one base model or adapter in an agent's `residency`.
 struct residency_holding {
   wire::replica_state state = wire::replica_state::cold;
-  /// What a load of it reserves.
+  /// Memory that a load of it reserves.
   std::uint64_t bytes = 0;
-  /// Attempts running on it.
   std::uint32_t users = 0;
   time_point last_used{};
-  /// Negative while it is kept for as long as its grant stands.
+  /// How long it stays loaded when idle; negative: as long as it is granted.
   milliseconds keep_warm{0};
-  /// Loaded for a wake and not used yet; evicted only after that.
+  /// No eviction before this time, so that a newly loaded replica serves a
+  /// request first.
   time_point fresh_until{};
-  /// When it was first asked for, and until when that holds.
+  /// When a load was first requested, and when that request expires.
   std::optional<time_point> wanted_since;
   time_point wanted_until{};
-  /// Its grant is to be given back.
+  /// Whether its grant is to be given up.
   bool retiring = false;
 
-  /// Returns whether it is loaded and nothing runs on it.
+  /// Returns whether it is loaded without a running attempt.
   bool idle() const {
     return this->state == wire::replica_state::ready && this->users == 0;
   }
 
-  /// Returns whether a wake asks for it still.
+  /// Returns whether a load request for it is pending.
   bool wanted(time_point now) const {
     return this->wanted_since.has_value() && now < this->wanted_until;
   }
--- a/src/decide/residency_load_time.cpp
+++ b/src/decide/residency_load_time.cpp
@@ -25,7 +25,8 @@
       static_cast<double>(std::max(took, milliseconds(1)).count());
   double& speed = this->speed.at(static_cast<std::size_t>(tier));
   const double seen = static_cast<double>(bytes) / time;
-  // Averages times, not speeds: one slow load must show in full.
+  // Averages the time per byte rather than the throughput, which would
+  // underweight one slow load.
   const double mean = (1 - weight_of_newest) / speed + weight_of_newest / seen;
   speed = 1 / mean;
 }
--- a/src/decide/residency_load_time.hpp
+++ b/src/decide/residency_load_time.hpp
@@ -9,17 +9,17 @@
 
 namespace boragehill::decide {
 
-/// Learns from past loads how long the next one takes, by checkpoint tier.
+/// Estimates load times from past loads, by checkpoint tier.
 class residency_load_time {
  public:
   /// Returns the expected time of a load.
   milliseconds expected(checkpoint_tier tier, std::uint64_t bytes) const;
 
-  /// Takes the time of a finished load into the moving average.
+  /// Adds a finished load to the exponential moving average.
   void learn(checkpoint_tier tier, std::uint64_t bytes, milliseconds took);
 
  private:
-  /// Bytes a millisecond: first guesses of 10, 2 and 0.5 GB a second.
+  /// Throughput by tier; the initial guesses are 10, 2 and 0.5 GB/s.
   std::array<double, 3> speed{10e6, 2e6, 0.5e6};
 };
 
--- a/src/decide/residency_name.hpp
+++ b/src/decide/residency_name.hpp
@@ -7,12 +7,12 @@
 
 namespace boragehill::decide {
 
-/// Returns whether a name is "base:adapter".
+/// Returns whether a name is that of an adapter ("base:adapter").
 inline bool is_adapter(const std::string& name) {
   return name.find(':') != std::string::npos;
 }
 
-/// Returns the base of "base" or "base:adapter".
+/// Returns the base model of "base" or "base:adapter".
 inline std::string base_of(const std::string& name) {
   return model_ref::parse(name).base;
 }
--- a/src/decide/residency_orders.cpp
+++ b/src/decide/residency_orders.cpp
@@ -9,10 +9,10 @@
 using wire::replica_state;
 
 bool residency::old_orders_gone(time_point now) const {
-  // An order of an earlier start of this agent may still be under way to the
-  // engine: it would show as a load that nobody here reserved. An engine that
-  // checks the fencing number refuses it once it has seen ours; for others
-  // the longest delivery time is waited out.
+  // An order of an earlier process of this agent may still be in transit and
+  // would load a model without a reservation. An engine that checks fencing
+  // numbers rejects it once it has seen this process's number; with others,
+  // wait for the maximum delivery time.
   if (this->settings.engine_checks_fence) return this->engine_fenced;
   return now - this->started >= this->settings.wait_out;
 }
@@ -129,7 +129,7 @@
     const std::string base = base_of(name);
     const bool whole = base != target && this->may_evict_base(base, now);
     if (!is_adapter(name) && whole) add(name, this->bytes_with_adapters(name));
-    // An idle adapter of a base that has to stay may go alone.
+    // An idle adapter can be evicted without its base.
     if (is_adapter(name) && !whole) add(name, held.bytes);
   }
   return list;
@@ -150,7 +150,7 @@
 }
 
 std::string residency::unload_step(const std::string& name) const {
-  // A base goes last: the engine could not account for an adapter without it.
+  // Adapters first: the engine cannot account for an adapter without its base.
   for (const auto& adapter : this->adapters_of(name)) {
     return this->find(adapter)->idle() ? adapter : std::string{};
   }
--- a/src/decide/residency_report.cpp
+++ b/src/decide/residency_report.cpp
@@ -26,7 +26,8 @@
   wire::replica_report report{.name = base};
   if (const residency_holding* held = this->find(base)) {
     report.state = held->state;
-    // Homes send no new work to a replica whose grant is going.
+    // Reported as unloading so that homes send no more requests to a replica
+    // that loses its grant.
     const bool leaves = held->retiring || !this->granted(base);
     if (leaves && held->state == replica_state::ready) {
       report.state = replica_state::unloading;
--- a/src/decide/residency_settings.hpp
+++ b/src/decide/residency_settings.hpp
@@ -5,22 +5,21 @@
 
 namespace boragehill::decide {
 
-/// How an agent treats the engine beside it.
+/// Settings of `residency`.
 struct residency_settings {
-  /// Whether the engine refuses orders with an old fencing number.
+  /// Whether the engine rejects orders with an outdated fencing number.
   bool engine_checks_fence = true;
-  /// How long an order may be under way before it reaches the engine.
+  /// The longest time that an order may take to reach the engine.
   milliseconds wait_out{5000};
-  /// Between two readings of the engine's state.
+  /// Interval between reads of the engine's state.
   milliseconds state_poll{1000};
-  /// Between two readings of the own row in the table.
+  /// Interval between reads of this server's row in the table.
   milliseconds grants_poll{10000};
-  /// For replicas that were found loaded and that no home woke yet.
+  /// Keep-warm time of replicas found loaded, until a home requests a load.
   milliseconds keep_warm{60000};
-  /// How long a fresh replica waits for its first request before a wake may
-  /// evict it.
+  /// How long a newly loaded replica without a request is safe from eviction.
   milliseconds protect_fresh{5000};
-  /// How long a wake stays in force while its load cannot begin.
+  /// How long a load request stays valid while the load cannot begin.
   milliseconds wake_stays{60000};
 
   bool operator==(const residency_settings&) const = default;
--- a/src/decide/residency_support.hpp
+++ b/src/decide/residency_support.hpp
@@ -9,13 +9,13 @@
 
 namespace boragehill::decide::detail {
 
-/// \return True if the name is in the list.
+/// Returns whether a list contains a name.
 inline bool holds(const std::vector<std::string>& names,
                   const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Takes a name out of the list.
+/// Removes every occurrence of a name from a list.
 inline void remove_name(std::vector<std::string>& names,
                         const std::string& name) {
   names.erase(std::remove(names.begin(), names.end(), name), names.end());
--- a/src/decide/residency_wake.hpp
+++ b/src/decide/residency_wake.hpp
@@ -9,23 +9,24 @@
 
 namespace boragehill::decide {
 
-/// A home's wish that a granted model, perhaps with an adapter, be ready.
+/// A home's request to load a granted model, optionally with an adapter.
 struct residency_wake {
   std::string model;
   std::string adapter;
   std::uint64_t bytes = 0;
   std::uint64_t adapter_bytes = 0;
-  /// Negative keeps it loaded for as long as the grant stands.
+  /// Negative: keep the model loaded as long as it is granted.
   milliseconds keep_warm{0};
 
   bool operator==(const residency_wake&) const = default;
 };
 
-/// The answer to a wake.
+/// The response to a load request.
 struct residency_wake_outcome {
-  /// ok (ready or on the way), no_grant, no_memory, draining or engine_down.
+  /// ok (ready, or to be loaded), no_grant, no_memory, draining or
+  /// engine_down.
   result_code code = result_code::ok;
-  /// The expected time to ready.
+  /// Expected time until the model is ready.
   milliseconds ready_in{0};
 
   bool operator==(const residency_wake_outcome&) const = default;
--- a/src/decide/revision_view.cpp
+++ b/src/decide/revision_view.cpp
@@ -8,9 +8,9 @@
     : settings(settings), last_tick(now), valid_from(now) {}
 
 bool revision_view::apply(std::uint64_t revision) {
-  // Catalogs arrive from the table and from peers, out of order: a slow read
-  // can end after a newer one was applied and would bring a profile that an
-  // operator replaced back in force.
+  // Catalogs arrive out of order from the table and from peers. A slow read
+  // that ends after a newer catalog was applied must not bring back a profile
+  // that an operator replaced.
   if (this->has_catalog && revision <= this->in_force) return false;
   this->in_force = revision;
   this->has_catalog = true;
@@ -29,8 +29,8 @@
   this->note(peer, {began, answer});
   if (!this->has_catalog || answer.revision > this->in_force) return true;
   if (!answer.confirmed_age) return false;
-  // The peer answered after `began`, so its confirmation is no older than
-  // this; a negative age would claim a time at which nobody asked.
+  // The peer responded after `began`, so its confirmation is no older than
+  // `began - age`. A negative age would date it after this router's heartbeat.
   const milliseconds age = std::max(*answer.confirmed_age, milliseconds{0});
   this->confirm(began - age);
   return false;
@@ -48,7 +48,7 @@
 revision_readiness revision_view::readiness(
     const std::vector<std::string>& peers, time_point now) const {
   if (!this->has_catalog) return revision_readiness::no_catalog;
-  // A request can be admitted before the next tick notices the pause.
+  // A request may arrive before the first tick after a pause.
   if (this->is_paused(now)) return revision_readiness::paused;
   const time_point oldest = now - this->settings.confirm_within;
   const time_point needed = std::max(oldest, this->valid_from);
@@ -67,7 +67,7 @@
 
 std::optional<milliseconds> revision_view::confirmed_age(time_point now) const {
   if (!this->confirmed_at) return std::nullopt;
-  // Rounded up: a confirmation must never look younger than it is.
+  // Rounded up, so that a confirmation never appears younger than it is.
   return std::chrono::ceil<milliseconds>(now - *this->confirmed_at);
 }
 
@@ -116,15 +116,15 @@
   return &found->second;
 }
 
-/// Returns true if the peer that answered knows no newer revision and can't
-/// tell either whether there is one.
+/// Returns whether a peer that responded has neither a newer revision nor a
+/// recent confirmation of its own.
 bool revision_view::is_alike(const peer_state& known, time_point now) const {
   const peer_revision& answer = *known.answer;
   if (answer.revision > this->in_force) return false;
   if (!answer.confirmed_age) return true;
-  // The age grew since the answer. Without that, every router would turn
-  // unready for one heartbeat when the last confirmation before an outage of
-  // the table expires for all of them at once.
+  // The age has grown since the response. Without adding that time, all routers
+  // would become unready for one heartbeat interval when their last
+  // confirmations before an outage of the table expire together.
   const auto age = *answer.confirmed_age + (now - known.began);
   return age > this->settings.confirm_within;
 }
--- a/src/decide/revision_view.hpp
+++ b/src/decide/revision_view.hpp
@@ -13,65 +13,74 @@
 
 namespace boragehill::decide {
 
-/// What a router knows of the published configuration: the revision in force
-/// and when it was last known to be the newest.
+/// Tracks the configuration revision in force at a router, and when it was last
+/// confirmed to be the newest.
 ///
-/// Every confirmation counts from when the question was SENT: an answer may
-/// have waited in a socket while the process was paused.
+/// A confirmation is dated to when the read or heartbeat was sent: its response
+/// may have waited in a socket while the process was paused.
 class revision_view {
  public:
   revision_view(revision_view_settings settings, time_point now);
 
-  /// Puts a whole catalog, from the table or a peer, in force.
+  /// Puts the revision of a complete catalog from the table or a peer in force.
   ///
-  /// \return False if it is not newer than the one in force: drop it.
+  /// \return False if the revision is not newer than the one in force; the
+  ///   catalog must then be discarded.
   bool apply(std::uint64_t revision);
 
-  /// Notes the catalog row's revision.
+  /// Records the revision in the catalog row.
   ///
-  /// \param began When the read was sent. It confirms the revision in force
-  ///   only if that is no older than the row's: after fetching and applying a
-  ///   newer catalog, call again with the same arguments.
-  /// \return True if the row is newer: read the profiles and apply them.
+  /// The read confirms the revision in force unless the row's is newer. After
+  /// a newer catalog was fetched and applied, call this again with the same
+  /// arguments.
+  ///
+  /// \param revision The revision in the row.
+  /// \param began When the read was sent.
+  /// \return True if the row is newer and its profiles must be read and
+  /// applied.
   bool on_table_read(std::uint64_t revision, time_point began);
 
-  /// Notes a peer's answer to a heartbeat. Heartbeats that peers send on their
-  /// own must not be passed here: their age in transit is not known.
+  /// Records a peer's response to a heartbeat of this router. Heartbeats that a
+  /// peer sends must not be passed here, as their time in transit is unknown.
   ///
-  /// \param began When this router sent the heartbeat that was answered.
-  /// \return True if the peer's revision is newer: fetch its catalog.
+  /// \param began When this router sent the heartbeat.
+  /// \return True if the peer's revision is newer and its catalog must be
+  ///   fetched.
   bool on_peer_answer(const std::string& peer, const peer_revision& answer,
                       time_point began);
 
-  /// Notes that a peer did not answer a heartbeat.
+  /// Records that a peer did not respond to a heartbeat.
   ///
-  /// \param began When this router sent it.
+  /// \param began When this router sent the heartbeat.
   void on_peer_silent(const std::string& peer, time_point began);
 
-  /// Notes that the process runs; call at a steady short interval.
+  /// Records that the process is running; call it at a short, regular interval.
+  /// A gap between calls is taken as a pause of the process.
   void on_tick(time_point now);
 
-  /// Returns whether requests may be admitted: the last confirmation is recent
-  /// and, after a pause, younger than the pause; or the table seems down, as
-  /// the peers that were asked have no confirmation either. A router without
-  /// peers counts as the latter.
+  /// Returns whether requests may be admitted.
+  ///
+  /// They may if the last confirmation is recent and not from before a pause,
+  /// or if the table is presumed down because the peers have no confirmation
+  /// either. Without peers, the table is always presumed down.
   ///
-  /// \param peers The ids of all other routers that the VM list names; those
-  ///   that do not answer too.
+  /// \param peers Ids of all other routers in the VM list, including those that
+  ///   do not respond.
+  /// \param now The current time.
   revision_readiness readiness(const std::vector<std::string>& peers,
                                time_point now) const;
 
-  /// Returns the revision in force; 0 before the first.
+  /// Returns the revision in force; 0 before the first catalog.
   std::uint64_t revision() const;
 
-  /// Returns the age of the last confirmation, for heartbeats; nothing if
-  /// there was none.
+  /// Returns the age of the last confirmation, as sent in heartbeats; nothing
+  /// if there was none.
   std::optional<milliseconds> confirmed_age(time_point now) const;
 
  private:
   struct peer_state {
     time_point began;
-    /// Nothing if the peer did not answer.
+    /// Nothing if the peer did not respond.
     std::optional<peer_revision> answer;
   };
 
@@ -88,8 +97,8 @@
   bool has_catalog = false;
   std::optional<time_point> confirmed_at;
   time_point last_tick;
-  /// When the process started or went on after its last pause:
-  /// confirmations from before don't count.
+  /// When the process started or resumed after its last pause. Earlier
+  /// confirmations are ignored.
   time_point valid_from;
   std::map<std::string, peer_state> peer_states;
 };
--- a/src/decide/revision_view_state.hpp
+++ b/src/decide/revision_view_state.hpp
@@ -9,23 +9,23 @@
 
 namespace boragehill::decide {
 
-/// Bounds of `revision_view`.
+/// Settings of `revision_view`.
 struct revision_view_settings {
-  /// The oldest confirmation under which requests are admitted.
+  /// Maximum age of a confirmation with which requests are admitted.
   milliseconds confirm_within{10000};
-  /// A gap between two ticks that counts as a pause of the process.
+  /// A longer gap between two ticks is taken as a pause of the process.
   milliseconds pause_limit{3000};
-  /// Peers, or all if there are fewer, that must have been asked within
-  /// `peer_asked_within` before a router without a confirmation takes the table
-  /// for down.
+  /// Number of peers (all, if there are fewer) that must have been sent a
+  /// heartbeat within `peer_query_window` before the table is presumed down.
   std::size_t peers_asked = 3;
   milliseconds peer_asked_within{3000};
-  /// How far back answers tell of the peers' state. Routers ask a few peers at
-  /// a time, so it spans many rounds.
+  /// Maximum age of a peer's response. Routers send heartbeats to a few peers
+  /// at a time, so this spans many rounds.
   milliseconds peer_answer_within{10000};
-  /// The share of the peers asked in that time that must have answered: below
-  /// 1, so that a dead peer still listed does not stop the others; above a
-  /// half, so that a router cut off with its half of the fleet stops.
+  /// Fraction of the peers asked within `peer_response_window` that must have
+  /// responded. Below 1, so that a failed peer still listed does not make the
+  /// others unready; above 0.5, so that a router partitioned off with half of
+  /// the fleet becomes unready.
   double answering_share = 0.75;
 
   bool operator==(const revision_view_settings&) const = default;
@@ -34,19 +34,19 @@
 /// Whether a router may admit requests under the revision it has in force.
 enum class revision_readiness {
   ready,
-  /// It holds no catalog yet.
+  /// No catalog has been applied yet.
   no_catalog,
-  /// It was paused and has not confirmed its revision since.
+  /// The process was paused and the revision not confirmed since.
   paused,
-  /// It could confirm its revision neither with the table nor with a peer.
+  /// Neither the table nor a peer confirmed the revision recently.
   unconfirmed,
 };
 
-/// What a peer's answer to a heartbeat says of its revision.
+/// A peer's revision, from its response to a heartbeat.
 struct peer_revision {
   std::uint64_t revision = 0;
-  /// The age of the peer's own confirmation when it answered; nothing if it
-  /// never had one.
+  /// Age of the peer's own confirmation when it responded; nothing if it never
+  /// had one.
   std::optional<milliseconds> confirmed_age;
 
   bool operator==(const peer_revision&) const = default;
--- a/test/decide-test/grant_change_test.cpp
+++ b/test/decide-test/grant_change_test.cpp
@@ -40,19 +40,19 @@
 }
 
 TEST(grant_change_test, keeps_the_grant_when_the_agent_restarted_since) {
-  // One replica too many is loaded. The agent gives a grant up and restarts;
-  // it reads the row where the grant still stands and loads the model again.
-  // Only then the home takes in the old acknowledgement and grants elsewhere.
+  // The agent gives up a grant, restarts, finds the grant still in the row and
+  // loads the model again. If the home then accepted the old acknowledgement
+  // and granted elsewhere, one replica too many would be loaded.
   const server_record restarted{.id = "s1", .fence = 8, .grants = {valves}};
   EXPECT_FALSE(remove_grant(granted, restarted, "valves", {7, 0}));
   EXPECT_TRUE(remove_grant(granted, restarted, "valves", {8, 0}));
 }
 
 TEST(grant_change_test, keeps_a_later_grant_from_an_earlier_acknowledgement) {
-  // One replica too many is loaded. A home removes a given-up grant and gives
-  // the server a new one, under which the model is loaded again. The agent's
-  // first acknowledgement reaches another home only then; if it counted, the
-  // new grant would go elsewhere while its replica is loaded here.
+  // A home removes a given-up grant and grants the server the model again,
+  // which loads it. The first acknowledgement then reaches another home. If
+  // that home accepted it for the new grant and granted elsewhere, one replica
+  // too many would be loaded.
   const auto again = add_grant(elsewhere, emptied_server, valves);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->server_row.grants.front().serial, 2U);
--- a/test/decide-test/residency_property_test.cpp
+++ b/test/decide-test/residency_property_test.cpp
@@ -38,7 +38,7 @@
 INSTANTIATE_TEST_SUITE_P(seeds, residency_property_test,
                          testing::Range(1U, 101U));
 
-/// Loads whatever it is asked for, at once, without looking.
+/// Orders every requested load at once, without any check.
 class hasty_residency {
  public:
   void on_fence_taken(std::uint64_t, time_point) {}
@@ -79,9 +79,9 @@
   EXPECT_FALSE(verdict.orders);
 }
 
-// An agent restarts while a load of its former life is under way, and does not
-// wait: the old load comes on top of its own. The wait-out time is what keeps
-// the memory whole, so without it the checker must fire.
+// An agent restarts while a load of its earlier process is in transit, and does
+// not wait for the maximum delivery time. The old load then arrives on top of
+// its own loads and overcommits the memory, which the checker must detect.
 TEST(residency_checker_test, memory_fires_when_old_orders_are_not_waited_out) {
   bool fired = false;
   for (std::uint32_t seed = 1; seed <= 100 && !fired; ++seed) {
--- a/test/decide-test/residency_test.cpp
+++ b/test/decide-test/residency_test.cpp
@@ -24,7 +24,7 @@
   return nullptr;
 }
 
-/// A residency with an engine of 100 bytes whose answers the test gives.
+/// A residency with an engine of 100 bytes whose responses the test supplies.
 class residency_test : public testing::Test {
  protected:
   void SetUp() override { this->make({.engine_checks_fence = false}); }
@@ -34,7 +34,7 @@
     this->own = std::make_unique<residency>(settings, at({}));
   }
 
-  /// Brings it to where it may order: at two seconds, with grants.
+  /// Supplies state and grants, and advances to 2 s, when orders may be issued.
   void bring_up(const std::vector<grant>& grants) {
     this->own->tick(at({}));
     this->own->on_engine_state(this->state, at({}));
@@ -49,7 +49,7 @@
     return {.id = "s1", .fence = fence, .grants = std::move(grants)};
   }
 
-  /// Lets time pass, answering readings of the state, up to an order.
+  /// Advances to a time and responds to state reads until an order is issued.
   std::optional<send_order> pass_to(milliseconds time) {
     this->own->tick(at(time));
     return this->answer_reads(time);
@@ -76,7 +76,7 @@
         .code;
   }
 
-  /// Wakes a model and answers its load.
+  /// Requests a load and reports it as done.
   void load(const std::string& model, std::uint64_t bytes, milliseconds time) {
     ASSERT_EQ(this->wake(model, time), result_code::ok);
     const auto order = this->answer_reads(time);
@@ -109,9 +109,9 @@
   EXPECT_NE(find_action<read_grants>(this->own->take_actions()), nullptr);
 }
 
-// An agent restarts while an order of its former life is still under way; the
-// engine does not check fencing numbers. The old load arrives after the new
-// agent read the state, and with a load of its own the memory is exceeded.
+// An agent restarts while an order of its earlier process is in transit to an
+// engine that does not check fencing numbers. If the old load arrives after the
+// state was read, it and a load by the new process exceed the memory.
 TEST_F(residency_test, orders_nothing_before_old_orders_have_died_out) {
   this->own->tick(at({}));
   this->own->on_engine_state(this->state, at({}));
@@ -149,9 +149,9 @@
   EXPECT_EQ(this->own->ledger().reserved(), 60U);
 }
 
-// A load's answer is lost, and the state read next shows nothing yet, since
-// the order is still on its way. Were its memory free again, a second load
-// would fill it and the first would then arrive on top.
+// The response to a load is lost and the next state read shows no load, as the
+// order is still in transit. If its memory were released, a second load could
+// fill it before the first arrives.
 TEST_F(residency_test, keeps_an_unknown_load_reserved_until_it_is_settled) {
   this->bring_up({{"a", 60}, {"b", 60}});
   this->wake("a", 2 * second);
@@ -182,10 +182,9 @@
   EXPECT_EQ(this->own->ledger().reserved(), 0U);
 }
 
-// A home asks for a grant back; the agent unloads and acknowledges. A reading
-// of the row that was sent before still shows the grant. If it counted, a wake
-// would load the model here while the home grants it elsewhere: one replica
-// too many.
+// The agent gives up a grant, and a read of the row sent before still shows it.
+// If that read were used, a load request would load the model here while the
+// home grants it elsewhere: one replica too many.
 TEST_F(residency_test, drops_a_reading_of_the_row_begun_before_a_give_up) {
   this->bring_up({{"a", 60}});
   this->own->on_grants_hint(at(2 * second));
@@ -249,9 +248,9 @@
   EXPECT_EQ(load->order.model, "b");
 }
 
-// Two homes wake two models on one server that holds only one. Each is loaded
-// and pushed out by the other's wake before its first request came: the server
-// loads for ever and answers nobody.
+// Two homes request two models on a server with memory for one. If each load
+// evicted the other model before its first request, the server would alternate
+// loads without ever serving a request.
 TEST_F(residency_test, does_not_evict_a_fresh_replica_that_nobody_used_yet) {
   this->bring_up({{"a", 60}, {"b", 60}});
   this->load("a", 60, 2 * second);
@@ -286,8 +285,8 @@
   EXPECT_EQ(order->reason, order_reason::keep_warm_over);
 }
 
-// The engine process restarts and holds nothing, while the agent goes on
-// sending it attempts for a model that is no longer there.
+// The engine process restarts empty. The agent must not go on sending it
+// attempts for a model that is no longer loaded.
 TEST_F(residency_test, follows_an_engine_that_restarted_empty) {
   this->bring_up({{"a", 60}});
   this->load("a", 60, 2 * second);
--- a/test/decide-test/residency_world.hpp
+++ b/test/decide-test/residency_world.hpp
@@ -24,7 +24,7 @@
 
 namespace boragehill::decide {
 
-/// Which checker fired first, if any.
+/// The first failure of each checker, and counts of what the run covered.
 struct residency_verdict {
   testing::AssertionResult memory = testing::AssertionSuccess();
   testing::AssertionResult grants = testing::AssertionSuccess();
@@ -33,9 +33,11 @@
   int restarts = 0;
 };
 
-/// One server on virtual time with random faults: an engine that checks no
-/// fencing number, a table whose home takes given-up grants back, orders that
-/// arrive late, lost answers, restarts of engine and agent.
+/// Simulates one server in virtual time with random faults.
+///
+/// The engine does not check fencing numbers, and the home removes given-up
+/// grants from the table. Orders are delayed, responses lost, and the engine
+/// and the agent restarted.
 template <class Decision>
 class residency_world {
  public:
@@ -113,8 +115,8 @@
     }
   }
 
-  /// The home acts late on the acknowledgements of this start, and only on
-  /// those.
+  /// The home processes acknowledgements, with a delay and only those of the
+  /// current agent process.
   void take_grants_back() {
     for (const auto& [model, serial] : this->agent->given_up()) {
       this->table.erase(model);
@@ -235,7 +237,7 @@
     std::uint64_t sum = 0;
     for (const auto& [name, model] : this->held) {
       sum += model.bytes;
-      // What is held counts as a replica until its grant was taken back.
+      // Every loaded model must still have its grant in the table.
       this->note(this->verdict.grants,
                  invariants::loads_only_under_grant(
                      {.kind = order_kind::load, .model = name},
--- a/test/decide-test/revision_view_test.cpp
+++ b/test/decide-test/revision_view_test.cpp
@@ -19,8 +19,8 @@
   return start + milliseconds{ms};
 }
 
-/// A router with revision 5, confirmed with the table at the start; its
-/// confirmations count for 10 s, and it ticks without a pause.
+/// A router with revision 5, confirmed by the table at `start`. Confirmations
+/// are valid for 10 s, and ticks come every second.
 class revision_view_test : public ::testing::Test {
  protected:
   revision_view_test() {
@@ -63,13 +63,14 @@
 }
 
 TEST_F(revision_view_test, stays_ready_when_no_router_reaches_the_table) {
-  // The table is down for an hour. Every router's last confirmation expires;
-  // if all turned unready, nobody would be served though nothing can change.
+  // During an hour's outage of the table every router's last confirmation
+  // expires. No new revision can be published then, so the routers must keep
+  // serving.
   for (int ms = 1000; ms <= 30000; ms += 1000) {
     const milliseconds age{ms};
     this->view.on_peer_answer("r2", {5, age}, at(ms));
     this->view.on_peer_answer("r3", {5, std::nullopt}, at(ms));
-    // Also just before the next heartbeat's answer.
+    // Checked just before the response to the next heartbeat.
     ASSERT_EQ(this->readiness({"r2", "r3"}, ms + 900),
               revision_readiness::ready);
   }
@@ -79,8 +80,8 @@
 }
 
 TEST_F(revision_view_test, is_unready_when_a_peer_may_reach_the_table) {
-  // A caller gets a replaced profile. This router lost the table and r3; an
-  // operator publishes through r3, which still reaches the table.
+  // This router cannot reach the table or r3, while an operator publishes
+  // through r3, which can. Callers here would get the replaced profile.
   this->view.on_peer_answer("r2", {5, std::nullopt}, at(11000));
   EXPECT_EQ(this->readiness({"r2"}, 11000), revision_readiness::ready);
   EXPECT_EQ(this->readiness({"r2", "r3"}, 11000),
@@ -90,8 +91,9 @@
 }
 
 TEST_F(revision_view_test, is_unready_when_cut_off_with_half_of_the_fleet) {
-  // Two regions lose each other and this one loses the table too. Operators
-  // publish in the other; callers here would get the replaced profile.
+  // A network partition separates two regions, and this one from the table.
+  // Operators publish in the other, and callers here would get the replaced
+  // profile.
   const names peers{"r2", "r3", "r4", "r5", "r6"};
   for (const char* near : {"r2", "r3", "r4"}) {
     this->view.on_peer_answer(near, {5, std::nullopt}, at(11000));
@@ -104,9 +106,9 @@
 }
 
 TEST_F(revision_view_test, confirms_again_after_a_pause) {
-  // A router VM is frozen for a minute while an operator publishes. It goes on
-  // with requests in its sockets and an answer of the table from before the
-  // freeze, and must not admit them under the old profile.
+  // A router VM is paused for a minute while an operator publishes. When it
+  // resumes, its sockets hold requests and a table response from before the
+  // pause; it must not admit these requests under the old profile.
   EXPECT_EQ(this->readiness({"r2"}, 1000), revision_readiness::ready);
   EXPECT_EQ(this->view.readiness({"r2"}, at(4001)), revision_readiness::paused);
   this->view.on_tick(at(4001));
@@ -119,8 +121,9 @@
 }
 
 TEST_F(revision_view_test, trusts_no_peers_word_from_before_a_pause) {
-  // As above, but the table was down for the peers before the freeze. It came
-  // back meanwhile, so their old word no longer shows that nothing changed.
+  // As above, but the peers could not reach the table before the pause either.
+  // It may have come back since, so their earlier responses do not show that
+  // the revision is unchanged.
   revision_view frozen({.pause_limit = milliseconds{1000}}, start);
   frozen.apply(5);
   frozen.on_peer_answer("r2", {5, std::nullopt}, at(900));
