--- a/src/decide/demand_report.hpp
+++ b/src/decide/demand_report.hpp
@@ -9,12 +9,12 @@
 
 namespace boragehill::decide {
 
-/// What one router tells the planner. `demands` are since the last report,
-/// `flights` as of now.
+/// Demand report of one router to the planner. `demands` covers the time since
+/// the last report, `in_flight` is the current state.
 struct demand_report {
   std::vector<model_demand> demands;
   std::vector<model_flight> flights;
-  /// Servers of which nothing is heard.
+  /// Servers from which the router receives nothing.
   std::vector<std::string> silent;
 
   bool operator==(const demand_report&) const = default;
--- a/src/decide/model_demand.hpp
+++ b/src/decide/model_demand.hpp
@@ -7,20 +7,20 @@
 
 namespace boragehill::decide {
 
-/// What a router saw of the requests for one model, or one adapter of it,
-/// since its last report.
+/// Requests for one model, or one of its adapters, that a router received since
+/// its last report.
 struct model_demand {
   std::string service;
   std::string model;
   /// Empty for the model without an adapter.
   std::string adapter;
   int arrivals = 0;
-  /// Requests that wait now because no worker holds it.
+  /// Requests that wait now because the model is not loaded on any worker.
   int waiting = 0;
   /// How long the oldest of them has waited.
   milliseconds oldest{0};
-  /// What the waiting requests are worth together, against one of the most
-  /// urgent kind.
+  /// Sum of the weights of the waiting requests; a request of the highest
+  /// priority has weight 1.
   double worth = 0;
 
   bool operator==(const model_demand&) const = default;
--- a/src/decide/model_flight.hpp
+++ b/src/decide/model_flight.hpp
@@ -5,7 +5,7 @@
 
 namespace boragehill::decide {
 
-/// Requests of one router for one model that are at one server now.
+/// In-flight requests of one router for one model at one server.
 struct model_flight {
   std::string server;
   std::string model;
--- a/src/decide/model_state.hpp
+++ b/src/decide/model_state.hpp
@@ -10,19 +10,20 @@
 
 namespace boragehill::decide {
 
-/// What the planner knows of the demand for one model.
+/// Demand for one model, aggregated over the reports of all routers.
 struct model_state {
-  /// Requests over the last while; weighs which model may be dropped.
+  /// Recent requests, decaying over a window of 15 s; determines the eviction
+  /// cost.
   decaying_sum arrivals{milliseconds(15000)};
   /// Requests that wait for the model, over all routers.
   int waiting = 0;
   double waiting_worth = 0;
   milliseconds oldest{0};
-  /// Requests waiting for each adapter of it.
+  /// Waiting requests by adapter.
   std::map<std::string, int> adapter_waiting;
-  /// When each adapter was last asked for.
+  /// When each adapter was last requested.
   std::map<std::string, time_point> adapter_asked;
-  /// Requests that are at workers now.
+  /// Requests that are in flight at workers.
   int flying = 0;
 };
 
--- a/src/decide/planned_load.hpp
+++ b/src/decide/planned_load.hpp
@@ -8,19 +8,20 @@
 
 namespace boragehill::decide {
 
-/// A load that was planned and isn't reported as done yet.
+/// A load that was planned and has not been reported as finished.
 struct planned_load {
   std::string model;
   bool from_store = false;
-  /// The load's time when the store serves nothing else.
+  /// Load time when the store serves no other load.
   milliseconds usual{0};
-  /// When the worker was first seen at work on it.
+  /// When the worker was first reported busy with it.
   std::optional<time_point> seen;
-  /// Loads from the store meanwhile, summed over the time since.
+  /// Number of concurrent store loads, integrated over the time since
+  /// `first_seen_busy`, in milliseconds.
   double crowd_ms = 0;
-  /// When it should be done.
+  /// When it is expected to finish.
   time_point due;
-  /// When it is given up.
+  /// When the planner gives it up.
   time_point give_up;
 
   bool operator==(const planned_load&) const = default;
--- a/src/decide/planned_worker.hpp
+++ b/src/decide/planned_worker.hpp
@@ -21,48 +21,52 @@
 /// A model worker as the planner sees it.
 struct planned_worker {
   fleet::server entry;
-  /// When the planner first heard of it.
+  /// When the worker first appeared in the server list.
   time_point listed;
-  /// The last report of its agent, and when it came.
+  /// The last report of its agent, and when it was received.
   std::optional<fleet::worker_report> report;
   time_point reported;
   residency_target target;
   std::optional<planned_load> pending;
-  /// When a router last told that it hears nothing of the worker.
+  /// When a router last reported the worker as unresponsive.
   std::optional<time_point> told_silent;
-  /// Models with a copy at hand; true if it is in main memory.
+  /// Models with a local copy; true if the copy is in main memory, false if it
+  /// is on disk.
   std::unordered_map<std::string, bool> copies;
-  /// What follows is reckoned anew in each step.
-  /// The routers that have requests there hear nothing of it.
+  /// True if the routers with requests in flight there receive nothing from it.
+  /// This and the following members are recomputed in each step, except
+  /// `resident_since`.
   bool silent = false;
-  /// Memory that is left, in megabytes.
+  /// Free accelerator memory in megabytes.
   double room_mb = 0;
-  /// What could make room, with its cost, the cheapest first.
+  /// Models that may be evicted, with their eviction cost in seconds, in
+  /// ascending order of cost.
   std::vector<std::pair<double, std::string>> droppable;
   /// When each resident model was first reported.
   std::map<std::string, time_point> since;
-  /// Requests of all routers there, by model and by "model/adapter".
+  /// In-flight requests of all routers, by model and by "model/adapter".
   std::map<std::string, int> flights;
   int requests = 0;
 
   bool operator==(const planned_worker&) const = default;
 
-  /// \return True if it leaves, by its entry or by its own word.
+  /// \return True if the server list or its own report says that it is
+  ///     draining.
   bool leaves() const {
     return this->entry.draining || (this->report && this->report->leaving);
   }
 
-  /// \return True if the model is resident and meant to stay.
+  /// \return True if the model is loaded and is in the target.
   bool serves(const std::string& model) const;
 
-  /// \return True if the model is meant to be there, now or soon.
+  /// \return True if the model is in the target, loaded or not.
   bool meant_for(const std::string& model) const;
 
-  /// \return Time to load the model here when nothing else loads: from the
-  ///     worker's memory, its disk or the store.
+  /// \return Time to load the model here when nothing else is loading: from
+  ///     main memory, from disk or from the store.
   milliseconds load_time(const fleet::model& model) const;
 
-  /// \return True if a load from the store was planned and isn't done.
+  /// \return True if a load from the store was planned and has not finished.
   bool loads_from_store() const {
     return this->pending && this->pending->from_store;
   }
--- a/src/decide/planner_loss.hpp
+++ b/src/decide/planner_loss.hpp
@@ -5,18 +5,18 @@
 
 namespace boragehill::decide {
 
-/// Decides when a router takes the planner that the store names for lost.
+/// Decides when a router considers the planner named in the store as lost.
 ///
-/// The load it answers: all machines lose power and come back. Three of four
-/// routers read the row of the planner of before and tried for 0.5 s to reach
-/// it, while its own router had started anew and led; their callers' models
-/// were woken 0.7 s later. So a planner is tried for a short while only, and
-/// the row looked at again. One lost packet takes as long and must not cost a
-/// good planner its place: it is lost at the second failure.
+/// After a power loss of all machines, three of four routers read the row of
+/// the previous planner and tried for 0.5 s to connect to it, while its own
+/// router had restarted and led; their models were loaded 0.7 s later. So a
+/// connection attempt is short, and the row is read again afterwards. One lost
+/// packet causes the same failure and must not replace a healthy planner, so
+/// the planner is lost at the second failure.
 class planner_loss {
  public:
-  /// The link to the planner of a term ended, or was never made.
-  /// \param reached It had been made.
+  /// The connection to the planner of a term ended or could not be made.
+  /// \param reached True if the connection had been established.
   /// \return True if that planner is to be replaced.
   bool on_link_ended(std::int64_t term, bool reached) {
     const bool again = this->unreached == term;
@@ -24,7 +24,7 @@
     return reached || again;
   }
 
-  /// The link to a planner was made.
+  /// The connection to a planner was established.
   void on_reached() { this->unreached = none; }
 
  private:
--- a/src/decide/residency_adapters.cpp
+++ b/src/decide/residency_adapters.cpp
@@ -1,4 +1,4 @@
-// Where the planner puts adapters.
+// Adapter placement of the residency planner.
 
 #include <algorithm>
 
@@ -35,7 +35,7 @@
       continue;
     }
     if (holds(worker.target.adapters, full)) return;
-    // A worker takes no adapter while it loads a model.
+    // A worker loads no adapter while it loads a model.
     const std::size_t wait = worker.pending || worker.report->busy
                                  ? static_cast<std::size_t>(1000)
                                  : 0;
@@ -48,7 +48,7 @@
   if (!best) return;
   auto& adapters = best->target.adapters;
   if (adapters.size() >= static_cast<std::size_t>(service.adapter_places)) {
-    // The one that was asked for longest ago and that no request uses.
+    // Evicts the least recently requested adapter without requests in flight.
     const std::string* oldest = nullptr;
     time_point oldest_time;
     for (const auto& each : adapters) {
--- a/src/decide/residency_appraisal.cpp
+++ b/src/decide/residency_appraisal.cpp
@@ -1,4 +1,4 @@
-// What the planner reckons that it costs to drop a model.
+// Eviction costs of the residency planner.
 
 #include <algorithm>
 #include <chrono>
@@ -29,7 +29,7 @@
   for (const auto& each : worker.report->models) {
     const auto* spec = this->model_of(each.name);
     if (!spec) {
-      // Of unknown size: nothing more is planned here.
+      // The size of the model is unknown, so no load is planned on this worker.
       worker.room_mb = 0;
       worker.droppable.clear();
       return;
@@ -67,7 +67,8 @@
 double residency_planner::cost_of_losing(const planned_worker& worker,
                                          const std::string& model,
                                          time_point now) const {
-  // An unload waits for the model's runs; they take about so long.
+  // An unload waits for the model's running requests; they take about this
+  // long.
   constexpr double run_seconds = 1.5;
   const auto found = this->models.find(model);
   if (found == this->models.end()) return 0;
--- a/src/decide/residency_fetch.cpp
+++ b/src/decide/residency_fetch.cpp
@@ -1,4 +1,4 @@
-// What the planner brings from the store ahead of need.
+// Prefetching from the weight store by the residency planner.
 
 #include <algorithm>
 
@@ -40,9 +40,9 @@
 
 void residency_planner::fetch_ahead(const fleet::service& service,
                                     time_point now) {
-  // What is waited for goes first. All places of the store may be used: it is
-  // such models that a place would be kept free for, and only loads beside each
-  // other show how many it serves.
+  // Loads that requests wait for go first. All store slots may be used: a free
+  // slot would be kept for just such models, and only concurrent loads show how
+  // many the store serves.
   if (!this->from_store.empty()) return;
   if (this->store_loads() >= this->pace.at_once()) return;
   if (this->acquainting(service, now)) return;
--- a/src/decide/residency_move.hpp
+++ b/src/decide/residency_move.hpp
@@ -8,19 +8,20 @@
 
 namespace boragehill::decide {
 
-/// A load that the planner decided, with what it rests on.
+/// A load that the planner decided, with the figures behind the decision.
 struct residency_move {
   std::string server;
   std::string model;
-  /// "wake", "relief" or "stock".
+  /// "wake" (requests wait for the model), "relief" (scale-out), "stock"
+  /// (preload) or "ahead" (prefetch from the store).
   std::string why;
-  /// Models that make room for it.
+  /// Models that are evicted for it.
   std::vector<std::string> victims;
   milliseconds load_time{0};
   bool from_store = false;
-  /// In seconds of waiting, over all requests.
+  /// Waiting time over all requests, in seconds.
   double cost = 0;
-  /// Requests that wait for the model, and that are at workers.
+  /// Requests that wait for the model, and requests that are at workers.
   int waiting = 0;
   int flying = 0;
   int replicas = 0;
--- a/src/decide/residency_planner.cpp
+++ b/src/decide/residency_planner.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// Requests that wait at one moment, taken over the time over which arrivals
-/// count: they stay for a little over two seconds, arrivals for fifteen.
+/// Converts the number of waiting requests to a number of arrivals: requests
+/// wait for a little over 2 s, arrivals count for 15 s.
 constexpr double waits_of_a_while = 6;
-/// A load that is overdue is still taken to need so long.
+/// Remaining time that is assumed for an overdue load.
 constexpr milliseconds busy_margin{200};
 
 void adopt_residents(planned_worker& worker) {
@@ -114,7 +114,7 @@
     worker.pending.reset();
   }
   forget_lost(worker);
-  // What no order takes away may as well serve.
+  // Loaded models that no order evicts may continue to serve requests.
   if (!worker.pending) adopt_residents(worker);
 }
 
@@ -184,8 +184,9 @@
     worker.silent = worker.told_silent &&
                     now < *worker.told_silent + this->settings.silence_trust;
   }
-  // A router whose own path to a worker is cut hears nothing of it; one that
-  // has requests there and doesn't complain shows that it lives.
+  // A router whose own connection to a worker is broken receives nothing from
+  // it. Another router that has requests in flight there and does not report it
+  // shows that the worker is alive.
   for (const auto& [router, report] : this->routers) {
     for (const auto& each : report.flights) {
       const auto found = this->known.find(each.server);
@@ -224,7 +225,7 @@
     if (found == this->models.end() || found->second.waiting == 0) continue;
     if (this->replicas_of(model.name) == 0) asked.push_back(&model);
   }
-  // The most worth first; among equals the one that waits longest.
+  // Highest weight first, then longest wait.
   std::sort(asked.begin(), asked.end(),
             [this](const fleet::model* left, const fleet::model* right) {
               const auto& one = this->models.at(left->name);
@@ -262,14 +263,14 @@
     if (!worker.pending) continue;
     at = std::max(worker.pending->due, now + busy_margin);
     const auto& model = worker.pending->model;
-    // Where it stands already, nobody waits for this load.
+    // If it is already loaded elsewhere, no request waits for this load.
     if (this->served.contains(model)) continue;
     const auto known = this->expectations.try_emplace(model, at).first;
     known->second = std::min(known->second, at);
   }
   auto store_free = this->store_free_at(now);
   for (const auto* model : unplaced) {
-    // It is on its way from the store by now.
+    // A load from the store was started in this step.
     if (this->replicas_of(model->name) > 0) continue;
     std::string soonest;
     time_point ready;
@@ -308,7 +309,7 @@
       busy.emplace_back(each, &model);
     }
   }
-  // Free workers and places of the store are few: the most crowded first.
+  // Free workers and store slots are scarce: most requests per replica first.
   std::sort(busy.begin(), busy.end(), [](const auto& left, const auto& right) {
     return left.first > right.first;
   });
@@ -330,12 +331,13 @@
   const auto chosen = this->choose_worker(
       service, model, this->settings.relief * load_there, now);
   if (!chosen) return;
-  // What the others lose must be less than what these requests gain.
+  // The eviction cost must not exceed the gain of these requests.
   if (chosen->loss > each) return;
   if (!chosen->from_store) {
     return this->carry_out(*chosen, "relief", now);
   }
-  // Slower by many times, so only for requests that have no room at all.
+  // The store is many times slower, so it is used only for requests that exceed
+  // the capacity of all replicas.
   if (!this->starves(model.name, state)) return;
   this->from_store.push_back(
       {&model, "relief", state.waiting * waits_of_a_while});
@@ -353,10 +355,10 @@
     auto found = this->consider(model, id, worker, may_load, now);
     if (found && (!best || found->cost < best->cost)) best = std::move(found);
   }
-  // The soonest is a worker that has to finish a load first: starting a longer
-  // one elsewhere now would come later.
+  // The best worker must finish a running load first. It is still sooner than
+  // starting a longer load elsewhere now.
   if (best && !this->usable(this->known.at(best->worker), service, now)) {
-    // Those behind it see the worker taken for so much longer.
+    // Models considered later see this worker occupied for longer.
     this->claimed[best->worker] += best->time;
     return std::nullopt;
   }
@@ -390,7 +392,7 @@
       worker.entry.slots > 0
           ? static_cast<double>(worker.requests) / worker.entry.slots
           : 0;
-  // What is under way there comes first.
+  // A running load finishes first.
   constexpr milliseconds unknown_order{500};
   milliseconds before{0};
   if (worker.pending) {
@@ -435,7 +437,7 @@
                    .due = now + chosen.time,
                    .give_up = now + chosen.time * this->settings.patience +
                               milliseconds(3000)};
-  // `forget_lost` spares only what is pending.
+  // `remove_lost_from_target` keeps only models that are loaded or pending.
   if (!worker.meant_for(model.name)) worker.target.models.push_back(model.name);
 }
 
--- a/src/decide/residency_planner.hpp
+++ b/src/decide/residency_planner.hpp
@@ -22,18 +22,20 @@
 
 namespace boragehill::decide {
 
-/// Decides which worker holds which models and adapters, for all workers as
-/// one problem.
+/// Decides which worker holds which models and adapters, optimizing over all
+/// workers at once.
 ///
-/// The load it answers: a few models get most requests, and which these are
-/// moves within seconds; the many others are asked for now and then, each
-/// about as often, and all of them together don't fit. So a model that is
-/// asked for and stands nowhere is woken where that is soonest, in the place
-/// of what is missed least over the whole fleet, and a busy model gets a
-/// further replica while that relieves those that have it.
+/// Most requests go to a few models, and which ones changes within seconds. The
+/// many other models are each requested occasionally, and not all models fit
+/// into memory at the same time. So a requested model that is not loaded
+/// anywhere is loaded on demand on the worker that can have it ready soonest,
+/// evicting the models with the lowest eviction cost over the whole fleet. A
+/// busy model gets a further replica while that reduces the load of its current
+/// workers.
 ///
-/// It is soft: a second planner, an old view or none at all break no promise,
-/// since each worker's own agent keeps its memory and the order of its orders.
+/// Its targets are advisory: a second planner, an outdated view or no planner
+/// at all violate no guarantee, since the agent of each worker enforces the
+/// memory limit and the sequence of its orders.
 class residency_planner {
  public:
   explicit residency_planner(const planner_settings& settings)
@@ -41,22 +43,24 @@
 
   void set_catalog(std::shared_ptr<const fleet::catalog> news);
   void set_servers(const fleet::server_list& list, time_point now);
-  /// The planner takes up its work: what it knew may be old.
+  /// Starts planning as the new leader. Earlier reports are dropped because
+  /// they may be outdated.
   void begin(time_point now);
   void on_report(const std::string& server, const fleet::worker_report& report,
                  time_point now);
-  /// The worker doesn't answer its agent: what it held serves nobody.
+  /// The agent of the worker cannot reach it: none of its models can serve
+  /// requests.
   void on_unreachable(const std::string& server);
   void on_demand(const std::string& router, const demand_report& report,
                  time_point now);
   void on_router_gone(const std::string& router);
 
-  /// Plans anew; the targets are in `workers()` afterwards.
-  /// \return The loads that were decided now.
+  /// Computes a new plan; the targets are in `workers()` afterwards.
+  /// \return The loads that this step decided.
   std::vector<residency_move> step(time_point now);
 
-  /// \return When models that are asked for and stand nowhere will be on a
-  ///     worker, as of the last step.
+  /// \return When each requested model that is not loaded on any worker is
+  ///     expected to be ready, as of the last step.
   const std::map<std::string, time_point>& expected() const {
     return this->expectations;
   }
@@ -68,90 +72,93 @@
 
  private:
   struct choice;
-  /// A load from the store that is wanted in this step.
+  /// A load from the weight store that this step would like to start.
   struct store_wish {
     const fleet::model* model = nullptr;
     const char* why = "";
-    /// Requests that lack it, over the while for which arrivals count.
+    /// Requests for the model within the window over which arrivals count.
     double requests = 0;
   };
 
-  /// Losses and gains are reckoned over the time in which a model that isn't
-  /// there would be asked for and come back by itself.
+  /// Period over which eviction costs and replica gains are computed: about the
+  /// time in which a missing model would be requested and loaded again on
+  /// demand.
   static constexpr double horizon_seconds = 5;
 
   void sum_up(time_point now);
-  /// Takes out of use the workers of which no router hears anything.
+  /// Marks workers as unresponsive from which no router receives anything.
   ///
-  /// The load it answers: a worker's machine stands still for seconds, and its
-  /// callers leave after two. Its agent's reports count for 1.5 s; with what
-  /// the routers hear, its models are woken elsewhere 0.3 s after it fell
-  /// silent.
+  /// Otherwise a worker whose machine stalls for seconds stays in use as long
+  /// as the last report of its agent counts (1.5 s), while its callers time out
+  /// after 2 s. With the routers' reports its models are loaded elsewhere 0.3 s
+  /// after it stopped responding.
   void judge_silence(time_point now);
-  /// Reckons what each worker of a service could drop.
+  /// Computes the eviction candidates of each worker of a service.
   void appraise(const fleet::service& service, time_point now);
   void appraise(planned_worker& worker, const fleet::service& service,
                 time_point now);
-  /// Reckons anew where models stand that were dropped elsewhere just now: the
-  /// last replica of a busy one must not go in the same step.
+  /// Recomputes the eviction candidates of the workers that hold models which
+  /// were just evicted elsewhere, so that one step does not evict the last
+  /// replica of a busy model.
   void appraise_holders(const std::vector<std::string>& dropped,
                         time_point now);
   const fleet::model* model_of(const std::string& name) const;
   void settle_pending(planned_worker& worker, time_point now);
-  /// \return Models that are asked for and can't be woken now.
+  /// \return Requested models that cannot be loaded now.
   std::vector<const fleet::model*> wake_waiting(const fleet::service& service,
                                                 time_point now);
-  /// Gives the store's places to the models that are asked for most.
+  /// Starts the wanted store loads in the order of their request counts.
   ///
-  /// The load it answers: all routers and workers restart at once, and the
-  /// first requests to come are for rare models without any copy. They took the
-  /// store for the next quarter of a minute, while the busiest model, asked for
-  /// a hundred times a second, had one replica for the rest of the day.
+  /// After a restart of all routers and workers the first requests are for rare
+  /// models without a local copy. They occupied the store for the next 15 s,
+  /// and the busiest model, requested 100 times per second, stayed at one
+  /// replica for the rest of the run.
   void load_from_store(const fleet::service& service, time_point now);
-  /// Reckons when models will be there that wait for a worker to be free.
+  /// Estimates when models will be ready that wait for a worker to be free.
   void expect_later(const fleet::service& service,
                     const std::vector<const fleet::model*>& unplaced,
                     time_point now);
   void relieve_busy(const fleet::service& service, time_point now);
-  /// \param each Requests for each replica.
+  /// \param each Requests per replica.
   void relieve(const fleet::service& service, const fleet::model& model,
                double each, time_point now);
-  /// \return True if requests for a model that stands somewhere find no room,
-  ///     and no load from the store is on its way for them.
+  /// \return True if requests for a loaded model exceed the capacity of its
+  ///     replicas and no store load for it is running.
   bool starves(const std::string& model, const model_state& state) const;
-  /// Loads what is missed most into places that are free.
+  /// Loads the models with the highest replica gain into free memory.
   ///
-  /// The load it answers: a release or a failure domain's loss replaces workers
-  /// by empty ones, or crashed ones come back with nothing loaded. Asked-for
-  /// models went on to share the few old workers, one load after the other,
-  /// while the new ones stood idle: they had no copy, and a load there was
-  /// always slower than the next one on an old worker's disk.
+  /// After a release, the loss of a failure domain or a crash, workers come
+  /// back empty. Without this, requested models were loaded one after the other
+  /// on the few old workers while the new ones stayed idle: they had no copies,
+  /// so a load there was always slower than the next one from the disk of an
+  /// old worker.
   void stock_free_places(const fleet::service& service, time_point now);
-  /// Brings models without any copy near from the store before they are asked
-  /// for, while it has nothing else to do.
+  /// Loads models that no worker has a copy of from the store before they are
+  /// requested, while no request needs the store.
   ///
-  /// The load it answers: half of the models fit on the workers at the start,
-  /// the others are asked for once in a while. The first request for each
-  /// waited for the store, nine seconds where a disk takes two and its caller
-  /// bears four.
+  /// Half of the models fit on the workers at the start, and the others are
+  /// requested occasionally. The first request for each of them waited 9 s for
+  /// the store, where a disk takes 2 s and callers time out after 4 s.
   void fetch_ahead(const fleet::service& service, time_point now);
-  /// \return The model without a copy that is asked for most; null if each has
-  ///     one, or will.
+  /// \return The most requested model without a local copy; null if every model
+  ///     has a copy or is being loaded.
   const fleet::model* most_wanted_without_copy(const fleet::service& service,
                                                time_point now) const;
-  /// \return A worker that can take the model without a loss to speak of.
+  /// \return An idle worker that can load the model at an eviction cost below
+  ///     `max_idle_eviction_cost_s`.
   std::optional<choice> idle_place_for(const fleet::service& service,
                                        const fleet::model& model,
                                        time_point now) const;
-  /// \return Workers with nothing to do and room for a model.
+  /// \return Idle workers with enough free memory for a model.
   std::vector<const planned_worker*> workers_with_room(
       const fleet::service& service, time_point now) const;
-  /// \return The model that is missed most of those that fit on a worker.
+  /// \return The model with the highest replica gain that fits into the free
+  ///     memory of the worker.
   std::optional<choice> most_missed(const planned_worker& worker,
                                     const fleet::service& service,
                                     time_point now) const;
-  /// \return Seconds of waiting, over all requests to come, that one more
-  ///     replica saves.
+  /// \return Waiting time in seconds, summed over all expected requests, that
+  ///     one more replica saves.
   double gain_of_placing(const fleet::model& model, time_point now) const;
   void count_copies();
   bool may_stock_from_store() const;
@@ -169,23 +176,23 @@
                         time_point now) const;
   void carry_out(const choice& chosen, const char* why, time_point now);
   bool fresh(const planned_worker& worker, time_point now) const;
-  /// \return Fresh workers that serve the model or soon will. A worker that
-  ///     crashed stays listed for seconds; what it held serves nobody, and
-  ///     counting it would let the last living replica be dropped.
+  /// \return Responsive workers that serve the model or are about to. A crashed
+  ///     worker stays in the server list for seconds; counting its models would
+  ///     allow the last live replica to be evicted.
   int replicas_of(const std::string& model) const;
   bool usable(const planned_worker& worker, const fleet::service& service,
               time_point now) const;
   int store_loads() const;
-  /// Learns from the loads under way how many the store serves.
+  /// Updates the concurrency limit of the store from the loads in progress.
   void watch_store(time_point now);
-  /// A load from the store is done.
   void watch_load(planned_load& load, time_point now);
-  /// A load from the store should be done and isn't.
+  /// A load from the store is past its due time.
   void watch_overdue(planned_load& load, time_point now);
-  /// \return When the store can begin one more load, for each load that it
-  ///     serves at once, the soonest first.
+  /// \return When the store can start further loads, one entry per load slot,
+  ///     in ascending order.
   std::vector<time_point> store_free_at(time_point now) const;
-  /// \return True while a worker that may have a copy hasn't reported yet.
+  /// \return True while a worker that may have a local copy has not reported
+  ///     yet.
   bool acquainting(const fleet::service& service, time_point now) const;
 
   planner_settings settings;
@@ -194,16 +201,16 @@
   std::map<std::string, demand_report> routers;
   std::unordered_map<std::string, const fleet::model*> specs;
   std::map<std::string, model_state> models;
-  /// By model, in this step: workers that serve it or soon will, and whether
-  /// one serves it now.
+  /// Number of workers that serve each model or are about to, and the models
+  /// that at least one worker serves now. Both are valid for one step.
   std::unordered_map<std::string, int> replicas;
   std::unordered_map<std::string, bool> served;
   time_point began;
   std::vector<residency_move> moves;
   std::map<std::string, time_point> expectations;
-  /// Loading time of models that wait for a busy worker, in this step.
+  /// Total load time queued for each busy worker in this step.
   std::map<std::string, milliseconds> claimed;
-  /// Models with a copy at hand on some worker that stays, in this step.
+  /// Models with a local copy on a worker that is not draining, in this step.
   std::unordered_set<std::string> copies;
   std::vector<store_wish> from_store;
   store_pace pace;
--- a/src/decide/residency_stock.cpp
+++ b/src/decide/residency_stock.cpp
@@ -1,4 +1,4 @@
-// What the planner loads into places that are free.
+// Preloading into free memory by the residency planner.
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,8 @@
   const int replicas = this->replicas_of(model.name);
   const double reload = seconds_of(model.disk_load);
   if (replicas == 0) {
-    // Where it is woken was decided already; it may wait for a copy on disk.
+    // Whether and where it is loaded on demand was decided before; it may be
+    // waiting for a worker with a copy on disk.
     if (state.waiting > 0) return 0;
     const double expected = state.arrivals.per_second(now) * horizon_seconds;
     const bool has_copy = this->copies.contains(model.name);
@@ -40,7 +41,7 @@
 }
 
 bool residency_planner::may_stock_from_store() const {
-  // One place of the store stays free for a model that is waited for.
+  // One store slot stays free for a model that requests wait for.
   const int others = this->store_loads();
   return others == 0 || others + 1 < this->pace.at_once();
 }
@@ -76,7 +77,7 @@
                        .time = worker.load_time(model),
                        .from_store = !worker.copies.contains(model.name),
                        .cost = -gain};
-    // What is at hand here comes first: it takes a fifth of the time.
+    // Models with a local copy come first: they load in a fifth of the time.
     const bool better = !best || std::pair{found.from_store, found.cost} <
                                      std::pair{best->from_store, best->cost};
     if (better) best = found;
@@ -86,7 +87,7 @@
 
 void residency_planner::stock_free_places(const fleet::service& service,
                                           time_point now) {
-  // Most of the time all are full, and nothing has to be counted.
+  // Usually no worker has free memory, and the copies need not be collected.
   const auto free = this->workers_with_room(service, now);
   if (free.empty()) return;
   this->count_copies();
--- a/src/decide/residency_store.cpp
+++ b/src/decide/residency_store.cpp
@@ -1,4 +1,4 @@
-// What the planner knows of the weight store.
+// Tracking of loads from the weight store by the residency planner.
 
 #include <algorithm>
 #include <chrono>
@@ -12,16 +12,17 @@
 
 namespace {
 
-/// A load that the store serves at full speed is done and reported within so
-/// much more than its time: the order's way, what it waits for at the worker,
-/// and the next report. Without it every load from the store was taken for
-/// overdue in its last moment, and all who had waited for it were refused 10 ms
-/// before the model was there (16 of 727 of the requests that are worth most).
+/// Tolerance for a store load that runs at full speed: its completion is
+/// reported later than its load time by the transfer of the order, its wait at
+/// the worker and the report interval. Without this tolerance every load from
+/// the store became overdue just before its end, and the requests waiting for
+/// it were rejected 10 ms before the model was ready (16 of 727 of the requests
+/// with the highest weight).
 constexpr int late_share = 20;
 constexpr milliseconds report_lag{50};
 
-/// \return Loads from the store while one of them ran, itself included, in the
-///     mean.
+/// \return Mean number of loads from the store during this load, itself
+///     included.
 double mean_crowd(const planned_load& load, milliseconds took) {
   if (took <= milliseconds(0)) return 0;
   return load.crowd_ms / static_cast<double>(took.count());
@@ -32,7 +33,7 @@
 int residency_planner::store_loads() const {
   int count = 0;
   for (const auto& [id, worker] : this->known) {
-    // What an earlier planner ordered may come from the store, too.
+    // A load ordered by a previous planner may come from the store as well.
     const bool unknown = !worker.pending && worker.report &&
                          worker.report->busy && !worker.leaves();
     if (worker.loads_from_store() || unknown) ++count;
@@ -44,7 +45,7 @@
                                 const model_state& state) const {
   if (state.waiting < this->settings.requests_per_replica) return false;
   if (state.oldest < this->settings.starved) return false;
-  // One load from the store at a time for each: others starve, too.
+  // At most one store load per model, so that other starved models get a slot.
   return std::none_of(
       this->known.begin(), this->known.end(), [&model](const auto& each) {
         const auto& worker = each.second;
@@ -82,7 +83,8 @@
 }
 
 void residency_planner::watch_load(planned_load& load, time_point now) {
-  // An order that the worker left undone for a while tells nothing.
+  // An order that the worker did not start in time says nothing about the
+  // store.
   if (!load.seen) return;
   const auto took = std::chrono::ceil<milliseconds>(now - *load.seen);
   this->pace.on_load(load.usual, took, mean_crowd(load, took), now);
@@ -94,12 +96,11 @@
     load.due = now + report_lag;
     return;
   }
-  // Under way still, so it shows what the store doesn't serve, never what it
-  // does.
+  // The load is not finished, so it can only lower the limit, never raise it.
   this->pace.on_overdue(load.usual, took, mean_crowd(load, took), now);
-  // How slow the store is shows only at the end. Until then a load that is
-  // overdue is taken to need as long again: told that it comes any moment,
-  // callers would wait for a model that can't come in time.
+  // The slowdown is known only at the end. Until then the remaining time is
+  // assumed to equal the time so far: if the model were reported as almost
+  // ready, callers would wait for a model that cannot be ready in time.
   load.due = now + took;
 }
 
@@ -111,8 +112,8 @@
   }
   std::sort(free.begin(), free.end());
   const auto places = static_cast<std::size_t>(this->pace.at_once());
-  // With more under way than the store serves, all but the last ones end before
-  // a further one may begin.
+  // If more loads are running than the limit, the first completions free no
+  // slot.
   if (free.size() > places) free.erase(free.begin(), free.end() - places);
   while (free.size() < places) free.insert(free.begin(), now);
   return free;
--- a/src/decide/residency_target.hpp
+++ b/src/decide/residency_target.hpp
@@ -6,8 +6,8 @@
 
 namespace boragehill::decide {
 
-/// What one worker should hold. Residents that aren't named may stay until
-/// their place is needed.
+/// The models and adapters that one worker should hold. Loaded models that are
+/// not listed may stay until their memory is needed.
 struct residency_target {
   std::vector<std::string> models;
   /// As "model/adapter".
--- a/src/decide/store_pace.hpp
+++ b/src/decide/store_pace.hpp
@@ -5,50 +5,53 @@
 
 namespace boragehill::decide {
 
-/// How many loads from the weight store should run at once.
+/// Adaptive limit of concurrent loads from the weight store.
 ///
-/// The load it answers: after workers were replaced, dozens of models have no
-/// copy left and all are to come from the store. The store serves a few loads
-/// at full speed and slows all of them down beyond; how many, nobody says. Of
-/// too many none comes in time: four at a store that serves one are all there
-/// after four times as long, where one after the other had brought the first,
-/// most wanted ones in the time of one and two.
+/// After many workers were replaced, dozens of models have no copy left and all
+/// must come from the store. The store serves a few loads at full speed and
+/// slows all of them down beyond that; it does not report how many. With too
+/// many loads none finishes in time: four loads on a store that serves one all
+/// finish after four load times, whereas run one at a time the two most
+/// requested models are ready after one and two.
 ///
-/// So the number follows what loads take. One that was in time with all places
-/// used adds a place; a slow one takes away those that the store can't serve.
+/// So the limit follows the measured load times. A load that was on time while
+/// all slots were in use raises the limit by one; a slow load lowers it to what
+/// the store serves.
 class store_pace {
  public:
-  /// A load that takes longer by this factor was slowed down by others. Loads
-  /// that overlap in part are slowed by less and tell too little.
+  /// A load that takes longer than its nominal time by this factor was slowed
+  /// down by others. Loads that overlap only partly are slowed down by less and
+  /// are not conclusive.
   static constexpr double slow = 1.2;
-  /// Loads that overlapped by this much less than a place in the mean count as
-  /// having used it.
+  /// All slots count as used if the mean number of concurrent loads is below
+  /// the limit by at most this.
   static constexpr double nearly = 0.25;
-  /// A number that was found too high isn't tried again for so long: each try
+  /// A limit that was found too high is not tried again for this long: each try
   /// costs the loads that take part in it up to twice their time.
   static constexpr milliseconds remember{60000};
 
-  /// \param first Assumed until loads have told more.
+  /// \param first Limit until load times have been measured.
   explicit store_pace(int first) : places(first) {}
 
-  /// A load ended, or is under way for longer than it should be.
-  /// \param usual Its time when nothing else loads.
+  /// A load finished, or has been running for longer than it should.
+  /// \param usual Its time when nothing else is loading.
   /// \param took Its time so far.
-  /// \param at_once Loads under way meanwhile, itself included, in the mean.
+  /// \param at_once Mean number of loads running during it, itself included.
   void on_load(milliseconds usual, milliseconds took, double at_once,
                time_point now);
 
-  /// A load is still under way that should be done.
-  /// \param so_far Since it began.
+  /// A load is still running past its due time.
+  /// \param so_far Time since it started.
   void on_overdue(milliseconds usual, milliseconds so_far, double at_once,
                   time_point now);
 
-  /// \return Loads that may be under way at once; at least one.
+  /// \return Number of loads that may run concurrently; at least one.
   int at_once() const { return this->places; }
 
  private:
   int places;
-  /// The store was found too slow for so many; zero if it never was.
+  /// The smallest number of loads at which the store was last found too slow;
+  /// zero if it never was.
   int too_many = 0;
   time_point found_slow;
 };
--- a/test/decide-test/planner_loss_test.cpp
+++ b/test/decide-test/planner_loss_test.cpp
@@ -6,15 +6,16 @@
 namespace {
 
 TEST(planner_loss_test, a_planner_that_was_not_reached_once_keeps_its_place) {
-  // One packet is lost while a router connects. It took the planner's place,
-  // and all routers and agents had to find the new one, which knew nothing.
+  // One packet is lost while a router connects. The planner was replaced, and
+  // all routers and agents had to find the new one, which had no state.
   planner_loss loss;
   EXPECT_FALSE(loss.on_link_ended(7, false));
   EXPECT_TRUE(loss.on_link_ended(7, false));
 }
 
 TEST(planner_loss_test, a_later_planner_is_tried_anew) {
-  // All restarted; the row of before is still there at the first look.
+  // After a restart of all processes the first read still returns the row of
+  // the previous planner.
   planner_loss loss;
   EXPECT_FALSE(loss.on_link_ended(7, false));
   EXPECT_FALSE(loss.on_link_ended(9, false));
--- a/test/decide-test/residency_planner_test.cpp
+++ b/test/decide-test/residency_planner_test.cpp
@@ -6,8 +6,8 @@
 namespace boragehill::decide {
 namespace {
 
-/// A fleet of workers with three places each, whose agents do at once what the
-/// planner decides.
+/// A fleet of workers with memory for three models each, whose agents apply the
+/// decisions of the planner at once.
 class planned_fleet {
  public:
   static constexpr int store_loads = 4;
@@ -68,7 +68,7 @@
         this->now);
   }
 
-  /// Router r1 hears nothing of some workers.
+  /// Router r1 reports some workers as unresponsive.
   void silent(const std::vector<std::string>& workers,
               std::vector<model_demand> demands,
               std::vector<model_flight> flights) {
@@ -81,7 +81,7 @@
 
   void step() { this->planner.step(this->now); }
 
-  /// Makes the reports show what the targets ask for.
+  /// Updates the reports to match the targets.
   void carry_out() {
     for (const auto& [id, worker] : this->planner.workers()) {
       auto& report = this->reports[id];
@@ -101,7 +101,8 @@
     return found;
   }
 
-  /// The fleet's store serves four loads at full speed, and that is known.
+  /// The store serves four loads at full speed, and the planner knows this from
+  /// the start.
   residency_planner planner{planner_settings{.store_loads = store_loads}};
   fleet::server_list list;
   std::map<std::string, fleet::worker_report> reports;
@@ -123,14 +124,14 @@
   fleet.demand({waiting("m5")});
   fleet.step();
   EXPECT_EQ(fleet.workers_for("m5"), std::set<std::string>{"w1"});
-  // It is on its way: no second worker is given the same load.
+  // The load is pending: no second worker is given the same load.
   fleet.step();
   EXPECT_EQ(fleet.workers_for("m5").size(), 1U);
 }
 
 TEST(residency_planner_test, drops_what_the_fleet_misses_least) {
-  // Each worker is full. m0 is asked for all the time and stands once; m1
-  // stands twice and is idle: the rare model takes the place of m1.
+  // All workers are full. m0 is requested constantly and has one replica; m1 is
+  // idle and has two. The rare model m6 evicts a replica of m1.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.hold("w1", {"m1", "m3", "m4"});
@@ -153,8 +154,8 @@
 }
 
 TEST(residency_planner_test, a_busy_model_gets_replicas_within_a_few_steps) {
-  // Demand moves to a model that stands once: its one worker gets all of its
-  // requests, and half of the answers come late until others hold it too.
+  // Demand moves to a model with one replica. Its worker gets all requests, and
+  // half of the responses are late until other workers have the model too.
   planned_fleet fleet(4, 8);
   fleet.hold("w0", {"m0"});
   for (int each = 0; each < 4; ++each) {
@@ -178,9 +179,9 @@
 }
 
 TEST(residency_planner_test, a_starved_model_gets_a_replica_from_the_store) {
-  // Demand moves to a model that stands on one worker and has no copy on any
-  // other: those that had one were taken away. Its one worker was full, and
-  // three in four of its callers were refused for as long as the day went on.
+  // Demand moves to a model with one replica and no copy on any other worker,
+  // because the workers with copies were removed. Its only worker was full, and
+  // three in four of its requests were rejected for the rest of the run.
   planned_fleet fleet(3, 12);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.hold("w1", {"m3", "m4", "m5"});
@@ -200,9 +201,9 @@
 }
 
 TEST(residency_planner_test, the_store_serves_the_most_asked_first) {
-  // A new planner after a restart of everything. A rare model without a copy is
-  // asked for first; the store's places would be gone for a quarter of a minute
-  // when the demand for the busy one shows.
+  // A new planner starts after a restart of all processes. A rare model without
+  // a copy is requested first; its load would occupy the store for 15 s when
+  // the demand for the busy model becomes visible.
   planned_fleet fleet(8, 20);
   fleet.report();
   fleet.planner.begin(fleet.now);
@@ -240,8 +241,9 @@
 }
 
 TEST(residency_planner_test, keeps_to_the_loads_that_the_store_serves_at_once) {
-  // A storm of rare models, none with a copy at hand: more loads at once than
-  // the store serves at full speed would make each of them slower.
+  // Many rare models without local copies are requested at once. More
+  // concurrent loads than the store serves at full speed would slow all of them
+  // down.
   planned_fleet fleet(12, 20);
   fleet.report();
   std::vector<model_demand> storm;
@@ -259,8 +261,8 @@
 }
 
 TEST(residency_planner_test, wakes_elsewhere_when_a_worker_falls_silent) {
-  // The only worker with the model loses its path. Its agent's reports stop
-  // counting, and the model is woken where it can be reached.
+  // The only worker with the model becomes unreachable. The reports of its
+  // agent no longer count, and the model is loaded on a reachable worker.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0"});
   fleet.copies_on_disk("w1", {"m0"});
@@ -272,9 +274,9 @@
 }
 
 TEST(residency_planner_test, two_wakes_at_once_leave_a_busy_model_one_replica) {
-  // A busy model stands twice, each time as the cheapest to drop. Two rare
-  // models are asked for in the same moment: each takes one of its places, and
-  // all its callers wait.
+  // A busy model has two replicas and is the cheapest to evict on both workers.
+  // Two rare models are requested at once: if each evicts one replica, all
+  // callers of the busy model wait.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.hold("w1", {"m0", "m3", "m4"});
@@ -299,8 +301,8 @@
 }
 
 TEST(residency_planner_test, waits_for_a_disk_copy_rather_than_the_store) {
-  // All workers with a copy on disk are loading for a second more. A load from
-  // the store that starts at once would be there five seconds later.
+  // All workers with a copy on disk are loading for another second. A load from
+  // the store that starts now would finish 5 s later than the load from disk.
   planned_fleet fleet(2, 8);
   fleet.copies_on_disk("w0", {"m0", "m1"});
   fleet.report();
@@ -317,8 +319,9 @@
 
 TEST(residency_planner_test, does_not_queue_for_ever_at_the_last_disk_copies) {
   // A release replaces most workers by empty ones. All disk copies are on the
-  // one that is left, and it is loading; each waiting model found that worth
-  // waiting for, and drafts came twenty seconds late beside idle workers.
+  // one worker that is left, and it is loading. Waiting for it looked best for
+  // each model on its own, and drafts came 20 s late while other workers were
+  // idle.
   planned_fleet fleet(4, 12);
   std::vector<std::string> all;
   all.reserve(12);
@@ -340,9 +343,10 @@
 }
 
 TEST(residency_planner_test, loads_one_by_one_from_a_store_that_serves_one) {
-  // Nearly all workers of a fleet are replaced by empty ones, and the store
-  // serves one load at full speed. Two at once are slow; from then on the
-  // models come one after the other, and callers of the others hear when.
+  // Nearly all workers are replaced by empty ones, and the store serves one
+  // load at full speed. The first loads are slow; from then on models are
+  // loaded one at a time, and callers of the others learn when theirs will be
+  // ready.
   planned_fleet fleet(6, 12);
   fleet.report();
   std::vector<model_demand> storm;
@@ -364,7 +368,8 @@
   for (const auto& [id, worker] : fleet.planner.workers()) {
     if (worker.pending) fleet.reports[id].busy = true;
   }
-  // Four at a store that serves one: after the usual six seconds it shows.
+  // Four loads on a store that serves one: after the nominal 6 s the planner
+  // detects it.
   pass(milliseconds(6500));
   const auto& expected = fleet.planner.expected();
   ASSERT_TRUE(expected.contains("m0"));
@@ -383,10 +388,9 @@
 }
 
 TEST(residency_planner_test, a_load_that_ends_a_moment_late_is_still_expected) {
-  // A model without any copy comes from the store, and its caller waits nine
-  // seconds. In the moment in which the load should have been done it counted
-  // as overdue, was taken to need as long again, and the caller was refused;
-  // the model was there 10 ms later.
+  // A model without a copy is loaded from the store, and its caller waits up to
+  // 9 s. When the load was due it counted as overdue and was assumed to need as
+  // long again, so the caller was rejected; the model was ready 10 ms later.
   planned_fleet fleet(1, 2);
   fleet.report();
   fleet.demand({waiting("m0")});
@@ -410,9 +414,9 @@
 }
 
 TEST(residency_planner_test, uses_new_workers_that_have_no_copies) {
-  // A release replaces a worker by an empty one. The old ones are full and load
-  // one asked-for model after the other from disk; the new one is never the
-  // soonest place for any of them and stood idle for the rest of the day.
+  // A release replaces a worker by an empty one. The old workers are full and
+  // load one requested model after the other from disk; the new one is never
+  // the soonest for any of them and stayed idle for the rest of the run.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.copies_on_disk("w0", {"m0", "m1", "m2", "m3", "m4"});
@@ -424,9 +428,9 @@
 }
 
 TEST(residency_planner_test, fills_a_crashed_worker_from_its_disk) {
-  // A worker crashes and is back with nothing loaded and all copies on disk.
-  // The busy model that stood there is loaded before its callers queue up at
-  // the replica that is left.
+  // A worker restarts after a crash with no model loaded and all copies on
+  // disk. The busy model it held is loaded before its callers queue at the
+  // remaining replica.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.copies_on_disk("w1", {"m0", "m3", "m4"});
@@ -437,7 +441,7 @@
 }
 
 TEST(residency_planner_test, leaves_places_free_for_what_nobody_asks_for) {
-  // Each has a copy near, so that its first request waits for a disk only.
+  // Every model has a local copy, so its first request waits for a disk only.
   planned_fleet fleet(2, 8);
   fleet.copies_on_disk("w0", {"m1", "m2", "m5", "m6", "m7"});
   fleet.copies_on_disk("w1", {"m0", "m3", "m4"});
@@ -450,9 +454,9 @@
 }
 
 TEST(residency_planner_test, a_new_planner_waits_for_reports_before_the_store) {
-  // All machines come back from a power loss. The first agent to report has no
-  // copy of the busy model, the next one, a moment later, has: a load from the
-  // store that was begun in between kept its callers out for six seconds.
+  // All machines restart after a power loss. The first agent to report has no
+  // copy of the busy model, the next one, 80 ms later, has one. A load from the
+  // store that started in between delayed its callers by 6 s.
   planned_fleet fleet(2, 8);
   fleet.copies_on_disk("w1", {"m0"});
   fleet.planner.begin(fleet.now);
@@ -467,8 +471,8 @@
 }
 
 TEST(residency_planner_test, expects_nothing_of_a_model_that_is_there) {
-  // A busy model gets a further replica. Callers that wait a moment for an
-  // adapter of it were told that no worker would have the model in time.
+  // A busy model is scaled out. Callers that waited briefly for an adapter of
+  // it were told that no worker would have the model in time.
   planned_fleet fleet(3, 8);
   fleet.hold("w0", {"m0"});
   fleet.copies_on_disk("w1", {"m0"});
@@ -494,9 +498,10 @@
 }
 
 TEST(residency_planner_test, a_crashed_workers_replica_does_not_count) {
-  // Two workers hold a busy model and one crashes. The platform lists it for
-  // seconds longer; taken for a second replica it lets the last living one be
-  // dropped for a rare model, and all requests of the busy one wait.
+  // Two workers hold a busy model and one of them crashes. The platform lists
+  // it for several seconds more; if it counted as a replica, the last live
+  // replica could be evicted for a rare model, and all requests of the busy
+  // model would wait.
   planned_fleet fleet(3, 8);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.hold("w1", {"m0"});
@@ -525,8 +530,8 @@
 }
 
 TEST(residency_planner_test, wakes_elsewhere_what_a_leaving_worker_holds) {
-  // Guards against models whose only holder says that it leaves, while the
-  // store's list doesn't.
+  // The only worker with the model reports that it is draining, but the server
+  // list does not say so.
   planned_fleet fleet(2, 8);
   fleet.hold("w0", {"m0"});
   fleet.reports["w0"].leaving = true;
@@ -554,9 +559,9 @@
 }
 
 TEST(residency_planner_test, what_a_silent_worker_had_is_woken_elsewhere) {
-  // A worker's machine stands still while its agent's last report is fresh.
-  // Its callers waited out their two seconds, although another worker had the
-  // model on its disk.
+  // The machine of a worker stalls while the last report of its agent is still
+  // valid. Its callers waited for their full 2 s timeout, although another
+  // worker had the model on disk.
   planned_fleet fleet(2, 4);
   fleet.hold("w0", {"m0"});
   fleet.hold("w1", {"m1", "m2", "m3"});
@@ -573,7 +578,7 @@
 }
 
 TEST(residency_planner_test, a_worker_that_another_router_hears_is_not_silent) {
-  // Only one router's path to the worker is cut.
+  // Only the connection of one router to the worker is broken.
   planned_fleet fleet(2, 4);
   fleet.hold("w0", {"m0"});
   fleet.hold("w1", {"m1", "m2", "m3"});
@@ -590,8 +595,8 @@
 TEST(residency_planner_test,
      brings_models_without_a_copy_before_they_are_asked) {
   // Half of the models fit on the workers at the start. The first request for
-  // each of the others waited six seconds for the store, though the store and
-  // most workers had had nothing to do for half a minute.
+  // each of the others waited 6 s for the store, though the store and most
+  // workers had been idle for half a minute.
   planned_fleet fleet(3, 12);
   fleet.hold("w0", {"m0", "m1", "m2"});
   fleet.hold("w1", {"m3", "m4", "m5"});
@@ -604,7 +609,7 @@
                 {.server = "w0", .model = "m1", .requests = 2},
                 {.server = "w0", .model = "m2", .requests = 2}});
   fleet.step();
-  // What was asked for comes first; what is in use stays.
+  // The requested model comes first; models in use are not evicted.
   EXPECT_EQ(fleet.workers_for("m10").size(), 1);
   EXPECT_FALSE(fleet.workers_for("m10").contains("w0"));
 }
@@ -626,8 +631,8 @@
 }
 
 TEST(residency_planner_test, brings_models_ahead_with_all_places_of_the_store) {
-  // With a place of the store kept free, five models came in a day's first
-  // fifty seconds, and the others were asked for before their turn.
+  // With one store slot kept free, five models were loaded in the first 50 s of
+  // a run, and the others were requested before their turn.
   planned_fleet fleet(6, 30);
   for (int worker = 0; worker < 6; ++worker) {
     const auto model = [worker](int place) {
--- a/test/decide-test/store_pace_test.cpp
+++ b/test/decide-test/store_pace_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr milliseconds usual{13200};
 
-/// A store that serves `full` loads at full speed, and the loads that a pace
-/// lets it have, all begun together.
+/// Simulates a store that serves `full` loads at full speed, with as many loads
+/// as the limit allows, all started together.
 milliseconds play_round(store_pace& pace, int full, time_point& now) {
   const int loads = pace.at_once();
   const double factor = std::max(1.0, static_cast<double>(loads) / full);
@@ -23,8 +23,9 @@
 }
 
 TEST(store_pace_test, finds_a_store_that_serves_one_at_a_time) {
-  // A fleet's workers are replaced and the store serves one load at full
-  // speed. Four at once each took 53 s and no caller was served meanwhile.
+  // The workers of a fleet are replaced, and the store serves one load at full
+  // speed. Four concurrent loads took 53 s each, and no caller was served
+  // meanwhile.
   store_pace pace(2);
   time_point now{std::chrono::hours(1)};
   play_round(pace, 1, now);
@@ -57,7 +58,8 @@
 }
 
 TEST(store_pace_test, takes_a_slow_load_alone_for_no_proof) {
-  // A worker leaves an order undone for seconds. Its load was late by itself.
+  // A worker starts an order seconds late. Its load is slow for a reason other
+  // than the store.
   store_pace pace(1);
   pace.on_load(usual, usual * 3, 1, time_point(std::chrono::hours(1)));
   EXPECT_EQ(pace.at_once(), 1);
