--- a/bench/decide_bench.cpp
+++ b/bench/decide_bench.cpp
@@ -39,8 +39,8 @@
   for (auto _ : state) {
     const auto ask = make_ask(number % homed_models, number);
     ++number;
-    benchmark::DoNotOptimize(home.request(ask, now));
-    home.on_done({.attempt = ask.attempt, .target = ask.target}, now);
+    benchmark::DoNotOptimize(home.request_permit(ask, now));
+    home.on_attempt_end({.attempt = ask.attempt, .target = ask.target}, now);
     home.take_actions();
   }
 }
@@ -68,10 +68,11 @@
 /// A tick with a thousand requests that wait for eight loads.
 void home_tick_in_storm(benchmark::State& state) {
   const fleet_size size = size_of(state);
-  decide::home home(decide::home_settings{}, decide::strike_settings{});
+  decide::home home(decide::home_settings{},
+                    decide::crash_attribution_settings{});
   home.on_catalog(make_catalog(size), at(milliseconds{0}));
   for (std::uint64_t i = 0; i < 1000; ++i) {
-    home.request(make_ask(i % homed_models, i), at(milliseconds{1}));
+    home.request_permit(make_ask(i % homed_models, i), at(milliseconds{1}));
   }
   for (auto _ : state) {
     home.tick(at(milliseconds{100}));
@@ -86,7 +87,7 @@
   }
   const std::string target = decide::model_target(model_name(0));
   for (auto _ : state) {
-    benchmark::DoNotOptimize(decide::home_order(target, routers, 3));
+    benchmark::DoNotOptimize(decide::rank_homes(target, routers, 3));
   }
 }
 
@@ -104,13 +105,13 @@
 void placement_choice(benchmark::State& state) {
   const auto request = make_placement(size_of(state));
   for (auto _ : state) {
-    benchmark::DoNotOptimize(decide::choose_servers(request));
+    benchmark::DoNotOptimize(decide::choose_grant_servers(request));
   }
 }
 
 void live_routers(benchmark::State& state) {
   decide::membership members{decide::membership_settings{}};
-  members.on_list(make_vms(size_of(state)), at(milliseconds{0}));
+  members.on_vm_list(make_vms(size_of(state)), at(milliseconds{0}));
   for (auto _ : state) {
     benchmark::DoNotOptimize(
         members.live_routers("region-0", at(milliseconds{100})));
@@ -120,12 +121,12 @@
 void read_vm_list(benchmark::State& state) {
   decide::membership members{decide::membership_settings{}};
   const auto vms = make_vms(size_of(state));
-  for (auto _ : state) members.on_list(vms, at(milliseconds{0}));
+  for (auto _ : state) members.on_vm_list(vms, at(milliseconds{0}));
 }
 
 void admit_attempt(benchmark::State& state) {
-  decide::admission admission{decide::attempt_memory_settings{}};
-  admission.take_fence(1);
+  decide::admission admission{decide::attempt_registry_settings{}};
+  admission.set_fencing_number(1);
   admission.set_slots(64);
   std::int64_t clock = 0;
   std::uint64_t number = 0;
@@ -136,9 +137,10 @@
                                       .permit_end = now + milliseconds{2000}};
     benchmark::DoNotOptimize(admission.decide(offer, result_code::ok, now));
     admission.end(offer.id, true);
-    admission.tick(now);
+    admission.remove_expired(now);
   }
-  state.counters["remembered"] = static_cast<double>(admission.remembered());
+  state.counters["remembered"] =
+      static_cast<double>(admission.known_attempts());
 }
 
 void wake_ready_model(benchmark::State& state) {
@@ -157,7 +159,7 @@
   held.on_grants(record, at(milliseconds{1}), at(milliseconds{2}));
   held.take_actions();
   for (auto _ : state) {
-    benchmark::DoNotOptimize(held.on_wake(
+    benchmark::DoNotOptimize(held.on_load_request(
         {.model = model_name(3), .bytes = bytes}, at(milliseconds{10})));
     held.take_actions();
   }
@@ -211,10 +213,11 @@
   const auto requests = static_cast<std::uint64_t>(state.range(0)) * 1000;
   for (auto _ : state) {
     state.counters["heap"] = heap_bytes([&] {
-      decide::home home(decide::home_settings{}, decide::strike_settings{});
+      decide::home home(decide::home_settings{},
+                        decide::crash_attribution_settings{});
       home.on_catalog(make_catalog(fleet_size{}), at(milliseconds{0}));
       for (std::uint64_t i = 0; i < requests; ++i) {
-        home.request(make_ask(i % homed_models, i), at(milliseconds{1}));
+        home.request_permit(make_ask(i % homed_models, i), at(milliseconds{1}));
       }
       home.take_actions();
       return home;
@@ -227,7 +230,7 @@
   for (auto _ : state) {
     state.counters["heap"] = heap_bytes([&] {
       decide::membership members{decide::membership_settings{}};
-      members.on_list(make_vms(size), at(milliseconds{0}));
+      members.on_vm_list(make_vms(size), at(milliseconds{0}));
       return members;
     });
   }
@@ -238,11 +241,12 @@
 void grants_asked_at_start(benchmark::State& state) {
   const decide::catalog catalog = make_catalog(size_of(state));
   for (auto _ : state) {
-    decide::home home(decide::home_settings{}, decide::strike_settings{});
+    decide::home home(decide::home_settings{},
+                      decide::crash_attribution_settings{});
     home.on_catalog(catalog, at(milliseconds{0}));
     const auto actions = home.take_actions();
     const auto asked = std::ranges::count_if(actions, [](const auto& action) {
-      return std::holds_alternative<decide::want_grants>(action);
+      return std::holds_alternative<decide::request_grants>(action);
     });
     state.counters["asked"] = static_cast<double>(asked);
   }
--- a/bench/fleet_fixture.cpp
+++ b/bench/fleet_fixture.cpp
@@ -117,8 +117,8 @@
 decide::placement_request make_placement(const fleet_size& size) {
   decide::placement_request request{.model = model_name(0),
                                     .bytes = model_bytes,
-                                    .wanted = grants_per_model,
-                                    .most = grants_per_model};
+                                    .wanted_grants = grants_per_model,
+                                    .max_grants = grants_per_model};
   for (std::size_t i = 0; i < size.servers; ++i) {
     request.servers.push_back({.id = server_name(i),
                                .failure_domain = domain_of(i),
@@ -132,7 +132,8 @@
 }
 
 decide::home make_home(const fleet_size& size, std::size_t homed) {
-  decide::home made(decide::home_settings{}, decide::strike_settings{});
+  decide::home made(decide::home_settings{},
+                    decide::crash_attribution_settings{});
   made.on_catalog(make_catalog(size), at(milliseconds{0}));
   for (std::size_t m = 0; m < homed; ++m) {
     std::vector<std::string> servers;
--- a/bench/planner_bench.cpp
+++ b/bench/planner_bench.cpp
@@ -67,10 +67,10 @@
                               .model = model_name(models / 2 + each),
                               .arrivals = 1,
                               .waiting = 1,
-                              .worth = 1});
+                              .weight = 1});
   }
   for (int each = 0; each < workers; ++each) {
-    report.flights.push_back(
+    report.in_flight.push_back(
         {"w" + std::to_string(each), model_name(each % (models / 2)), {}, 8});
   }
   return report;
@@ -98,7 +98,7 @@
       planner.on_report("w" + std::to_string(each), make_report(each, models),
                         now);
     }
-    planner.on_demand("router", demand, now);
+    planner.on_demand_report("router", demand, now);
     state.ResumeTiming();
     benchmark::DoNotOptimize(planner.step(now));
   }
--- a/bench/policy_experiments.cpp
+++ b/bench/policy_experiments.cpp
@@ -42,7 +42,7 @@
 
 question keep_warm_question() {
   const auto histogram = [](policy_choice& choice) {
-    choice.keep_warm = decide::histogram_rule{.most = 10 * minute};
+    choice.keep_warm = decide::histogram_rule{.max_keep_warm = 10 * minute};
   };
   const auto memory = [](policy_choice& choice) {
     choice.expects_memory = true;
--- a/bench/policy_world.cpp
+++ b/bench/policy_world.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-decide::store_pacing_settings pacing_settings(const policy_scale& scale,
-                                              milliseconds transfer) {
-  return {.parallel = scale.parallel_loads,
-          .load_time = transfer,
-          .slot_limit = std::chrono::hours(24),
-          .capacity = 100000};
+decide::store_load_scheduler_settings pacing_settings(const policy_scale& scale,
+                                                      milliseconds transfer) {
+  return {.max_parallel = scale.parallel_loads,
+          .initial_load_time = transfer,
+          .slot_timeout = std::chrono::hours(24),
+          .max_waiting = 100000};
 }
 
 milliseconds transfer_of(const policy_scale& scale,
@@ -109,7 +109,7 @@
   decide::placement_request request{
       .model = numbered_name(model),
       .bytes = replica_bytes,
-      .wanted = static_cast<std::uint32_t>(this->scale.grants)};
+      .wanted_grants = static_cast<std::uint32_t>(this->scale.grants)};
   for (std::size_t i = 0; i < this->workers.size(); ++i) {
     std::uint64_t granted = 0;
     for (const model_state& state : this->models) {
@@ -124,7 +124,7 @@
          .granted_bytes = granted,
          .tier = worker.tier(model)});
   }
-  for (const std::string& name : decide::choose_servers(request)) {
+  for (const std::string& name : decide::choose_grant_servers(request)) {
     chosen.push_back(number_of(name));
   }
   return chosen;
@@ -191,7 +191,7 @@
   const auto found = replicas.find(model);
   if (found == replicas.end() || found->second.number != number) return;
   const policy_replica& replica = found->second;
-  const bool over = decide::past_keep_warm(
+  const bool over = decide::is_past_keep_warm(
       replica.keep_warm, to_point(replica.last_used), to_point(this->now));
   if (replica.running > 0 || !over) return;
   this->unload(worker, model);
--- a/bench/policy_world.hpp
+++ b/bench/policy_world.hpp
@@ -16,7 +16,7 @@
 
 #include "arrivals.hpp"
 #include "decide/keep_warm.hpp"
-#include "decide/store_pacing.hpp"
+#include "decide/store_load_scheduler.hpp"
 #include "policy_choice.hpp"
 #include "policy_outcome.hpp"
 #include "policy_worker.hpp"
@@ -99,7 +99,7 @@
   std::mt19937_64 random;
   std::vector<policy_worker> workers;
   std::vector<model_state> models;
-  decide::store_pacing pacing;
+  decide::store_load_scheduler pacing;
   std::deque<place> first_come;
   std::set<place> fetching;
   /// Models whose wake found no room; tried again when a run or load ends.
--- a/bench/policy_world_loads.cpp
+++ b/bench/policy_world_loads.cpp
@@ -34,8 +34,8 @@
 
 void policy_world::wake(std::size_t model) {
   model_state& state = this->models[model];
-  decide::wake_request request{.model = numbered_name(model),
-                               .bytes = replica_bytes};
+  decide::load_placement_request request{.model = numbered_name(model),
+                                         .bytes = replica_bytes};
   for (std::size_t i = 0; i < this->workers.size(); ++i) {
     const bool granted =
         std::ranges::find(state.grants, i) != state.grants.end();
@@ -47,14 +47,14 @@
         worker.replicas,
         [](const auto& entry) { return is_idle(entry.second); });
     const auto evictable = static_cast<std::uint64_t>(idle_ones);
-    request.servers.push_back(
+    request.candidates.push_back(
         {.server = worker.name,
          .tier = worker.tier(model),
          .free_bytes = replica_bytes * (this->scale.accelerators - taken),
          .evictable_bytes = replica_bytes * evictable,
          .running = static_cast<std::uint32_t>(taken)});
   }
-  const auto chosen = decide::choose_replica_to_wake(request);
+  const auto chosen = decide::choose_load_server(request);
   if (chosen && this->begin_load(number_of(*chosen), model)) return;
   --state.wakes;
   if (chosen) this->blocked.insert(model);
@@ -96,10 +96,10 @@
   if (idle_ones.empty()) return false;
   const auto oldest = std::ranges::min_element(
       idle_ones, std::less{}, &decide::eviction_candidate::last_used);
-  const auto victim =
-      this->choice.least_loss
-          ? decide::choose_victim(idle_ones, replica_bytes, to_point(this->now))
-          : std::optional(oldest->name);
+  const auto victim = this->choice.least_loss
+                          ? decide::choose_eviction(idle_ones, replica_bytes,
+                                                    to_point(this->now))
+                          : std::optional(oldest->name);
   this->unload(number, number_of(*victim));
   return true;
 }
@@ -112,17 +112,17 @@
     // is that much earlier.
     const milliseconds deadline =
         this->earliest_deadline(model) - this->scale.load_from_disk;
-    this->pacing.ask({.server = this->workers[worker].name,
-                      .model = numbered_name(model),
-                      .deadline = to_point(deadline),
-                      .tier = checkpoint_tier::remote});
+    this->pacing.enqueue({.server = this->workers[worker].name,
+                          .model = numbered_name(model),
+                          .deadline = to_point(deadline),
+                          .tier = checkpoint_tier::remote});
   }
   this->pump_store();
 }
 
 void policy_world::pump_store() {
   if (this->choice.deadline_order) {
-    for (const auto& load : this->pacing.start(to_point(this->now))) {
+    for (const auto& load : this->pacing.start_ready(to_point(this->now))) {
       this->fetch(number_of(load.server), number_of(load.model));
     }
     return;
--- a/fuzz/messages_fuzz.cpp
+++ b/fuzz/messages_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "decide/once_claim_row.hpp"
+#include "decide/idempotency_record.hpp"
 #include "wire/agent_report.hpp"
 #include "wire/attempts_done.hpp"
 #include "wire/field_codec.hpp"
@@ -39,7 +39,7 @@
   round_trip<boragehill::wire::attempts_done>(text);
   round_trip<boragehill::wire::peer_heartbeat>(text);
   round_trip<boragehill::wire::wake_order>(text);
-  round_trip<boragehill::decide::once_row>(text);
+  round_trip<boragehill::decide::idempotency_record>(text);
   round_trip<boragehill::server_record>(text);
   round_trip<boragehill::profile>(text);
   return 0;
--- a/src/agent/attempt_runner.cpp
+++ b/src/agent/attempt_runner.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-wire::frame_failure refusal_frame(const decide::admission_verdict& verdict) {
+wire::frame_failure refusal_frame(const decide::admission_decision& verdict) {
   return {.code = verdict.code,
           .ran = verdict.ran,
           .message = std::string(name_of(verdict.code))};
@@ -51,16 +51,16 @@
 attempt_runner::attempt_runner(parts with, std::size_t keep_bytes)
     : with(with), keep_bytes(keep_bytes) {}
 
-decide::admission_verdict attempt_runner::offer(
+decide::admission_decision attempt_runner::offer(
     const attempt_request& attempt) const {
   kernel::span hop(this->with.tracer, "agent.admit",
                    kernel::trace_context::parse(attempt.request.traceparent));
   const auto verdict =
-      this->with.brain.ask<decide::admission_verdict>([&](auto reply) {
+      this->with.brain.ask<decide::admission_decision>([&](auto reply) {
         return attempt_offered{attempt.offer, attempt.target, std::move(reply)};
       });
-  const decide::admission_verdict known =
-      verdict.value_or(decide::admission_verdict{result_code::server_busy});
+  const decide::admission_decision known =
+      verdict.value_or(decide::admission_decision{result_code::server_busy});
   hop.tag("code", name_of(known.code));
   if (known.code != result_code::ok) {
     log_event(event::attempt_refused, {{"attempt", attempt.request.attempt},
--- a/src/agent/attempt_runner.hpp
+++ b/src/agent/attempt_runner.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "agent/attempt_request.hpp"
-#include "decide/attempt_memory.hpp"
+#include "decide/attempt_registry.hpp"
 #include "wire/answer_frame.hpp"
 
 namespace boragehill {
@@ -44,7 +44,7 @@
 
   /// Asks whether an attempt may run. After ok, `run` or `abandon` must
   /// follow once.
-  decide::admission_verdict offer(const attempt_request& attempt) const;
+  decide::admission_decision offer(const attempt_request& attempt) const;
 
   /// Runs an admitted attempt to its end.
   ///
@@ -75,7 +75,7 @@
 };
 
 /// Returns the frame that tells a router of a refused attempt.
-wire::frame_failure refusal_frame(const decide::admission_verdict& verdict);
+wire::frame_failure refusal_frame(const decide::admission_decision& verdict);
 
 }  // namespace boragehill::agent
 
--- a/src/agent/brain.cpp
+++ b/src/agent/brain.cpp
@@ -16,7 +16,7 @@
 
 decide::residency_settings residency_settings_of(const agent_settings& from) {
   return {.engine_checks_fence = from.engine_checks_fence,
-          .wait_out = from.wait_out};
+          .max_order_delivery = from.wait_out};
 }
 
 }  // namespace
@@ -26,7 +26,7 @@
     : plain(settings.kind == server_kind::plain),
       pool(settings.pool),
       slots_override(settings.slots),
-      state_poll(decide::residency_settings{}.state_poll),
+      state_poll(decide::residency_settings{}.state_poll_interval),
       outlets(std::move(outlets)),
       metrics(&metrics),
       admission({.retention = settings.retention}),
@@ -34,7 +34,7 @@
   this->admission.set_slots(settings.slots);
   // Attempts are named by this process, not by its fencing number: a restart
   // while the table is down still serves what the engine holds.
-  this->admission.take_fence(this->incarnation);
+  this->admission.set_fencing_number(this->incarnation);
 }
 
 void brain::handle(brain_message& message, time_point now) {
@@ -43,7 +43,7 @@
 }
 
 void brain::tick(time_point now) {
-  this->admission.tick(now);
+  this->admission.remove_expired(now);
   if (this->plain) {
     this->watch_plain_service(now);
   } else {
@@ -58,8 +58,8 @@
       this->admission.decide(message.offer, this->usable(message.target), now);
   if (verdict.code == result_code::ok) {
     if (!this->plain) {
-      this->residency.on_use_began(message.target.model, message.target.adapter,
-                                   now);
+      this->residency.on_attempt_began(message.target.model,
+                                       message.target.adapter, now);
     }
   } else {
     this->metrics->count_refusal(verdict.code);
@@ -70,8 +70,8 @@
 void brain::take(attempt_finished& message, time_point now) {
   this->admission.end(message.id, message.whole);
   if (this->plain) return;
-  this->residency.on_use_ended(message.target.model, message.target.adapter,
-                               now);
+  this->residency.on_attempt_ended(message.target.model, message.target.adapter,
+                                   now);
   if (message.engine_suspected) this->residency.on_engine_suspected(now);
 }
 
@@ -87,7 +87,7 @@
     message.reply->set_value({result_code::not_supported});
     return;
   }
-  const auto outcome = this->residency.on_wake(message.wake, now);
+  const auto outcome = this->residency.on_load_request(message.wake, now);
   if (outcome.code != result_code::ok) {
     log_event(event::wake_refused,
               {{"model", message.wake.model}, {"code", name_of(outcome.code)}});
@@ -128,7 +128,7 @@
 void brain::take(engine_lost&, time_point now) {
   this->service_asked = false;
   this->service_up = false;
-  if (!this->plain) this->residency.on_engine_lost(now);
+  if (!this->plain) this->residency.on_engine_unresponsive(now);
   if (!this->was_up) return;
   this->was_up = false;
   log_event(event::engine_lost, {});
@@ -187,19 +187,19 @@
   this->outlets.read_grants();
 }
 
-void brain::act(const decide::note_given_up&) {
+void brain::act(const decide::notify_given_up&) {
   this->outlets.report();
 }
 
-void brain::act(const decide::note_changed&) {
+void brain::act(const decide::notify_model_changed&) {
   this->outlets.report();
 }
 
-void brain::act(const decide::note_engine_restarted&) {
+void brain::act(const decide::notify_engine_restarted&) {
   log_event(event::engine_restarted, {});
 }
 
-void brain::act(const decide::note_overtaken&) {
+void brain::act(const decide::notify_superseded&) {
   this->admission.drain();
   this->outlets.overtaken();
 }
@@ -220,7 +220,7 @@
 result_code brain::usable(const attempt_target& target) const {
   if (!this->plain) {
     if (target.model.empty()) return result_code::no_server;
-    return this->residency.usable(target.model, target.adapter);
+    return this->residency.check_usable(target.model, target.adapter);
   }
   if (target.pool != this->pool) return result_code::no_server;
   return this->service_up ? result_code::ok : result_code::engine_down;
@@ -241,12 +241,12 @@
                   .slots = this->admission.slots(),
                   .running = this->admission.running(),
                   .idle_replicas = this->residency.idle_replicas(),
-                  .remembered = this->admission.remembered(),
+                  .remembered = this->admission.known_attempts(),
                   .draining = this->admission.draining(),
                   .backend_up = this->backend_up(),
-                  .order_unknown = this->residency.order_unknown(),
+                  .order_unknown = this->residency.is_order_outcome_unknown(),
                   .replicas = this->residency.replicas(now)};
-  for (const auto& [name, tier] : this->residency.engine().cached) {
+  for (const auto& [name, tier] : this->residency.last_engine_state().cached) {
     view.cached.emplace(name, static_cast<std::int32_t>(tier));
   }
   view.given_up = this->residency.given_up();
--- a/src/agent/brain.hpp
+++ b/src/agent/brain.hpp
@@ -51,10 +51,10 @@
   void act(const decide::send_order& action);
   void act(const decide::read_engine_state& action);
   void act(const decide::read_grants& action);
-  void act(const decide::note_given_up& action);
-  void act(const decide::note_changed& action);
-  void act(const decide::note_engine_restarted& action);
-  void act(const decide::note_overtaken& action);
+  void act(const decide::notify_given_up& action);
+  void act(const decide::notify_model_changed& action);
+  void act(const decide::notify_engine_restarted& action);
+  void act(const decide::notify_superseded& action);
 
   void carry_out_actions();
   void watch_plain_service(time_point now);
--- a/src/agent/brain_message.hpp
+++ b/src/agent/brain_message.hpp
@@ -17,7 +17,7 @@
 #include "agent/attempt_target.hpp"
 #include "agent/brain_view.hpp"
 #include "decide/admission.hpp"
-#include "decide/residency_wake.hpp"
+#include "decide/residency_load_request.hpp"
 
 namespace boragehill::agent {
 
@@ -29,7 +29,7 @@
 struct attempt_offered {
   decide::attempt_offer offer;
   attempt_target target;
-  reply_to<decide::admission_verdict> reply;
+  reply_to<decide::admission_decision> reply;
 };
 
 /// An admitted attempt has ended.
@@ -50,8 +50,8 @@
 
 /// A home asks for a model.
 struct wake_asked {
-  decide::residency_wake wake;
-  reply_to<decide::residency_wake_outcome> reply;
+  decide::residency_load_request wake;
+  reply_to<decide::residency_load_outcome> reply;
 };
 
 /// A home asks for a grant back.
--- a/src/agent/control_methods.cpp
+++ b/src/agent/control_methods.cpp
@@ -31,14 +31,14 @@
 result<Json::Value> wake(const brain_link& brain, const Json::Value& params) {
   const auto order = wire::from_json<wire::wake_order>(params);
   if (!order) return order.error();
-  const decide::residency_wake wanted{
+  const decide::residency_load_request wanted{
       .model = order.value().model,
       .adapter = order.value().adapter,
       .bytes = order.value().bytes,
       .adapter_bytes = order.value().adapter_bytes,
       .keep_warm = milliseconds(order.value().keep_warm_ms)};
   const auto outcome =
-      brain.ask<decide::residency_wake_outcome>([&](auto reply) {
+      brain.ask<decide::residency_load_outcome>([&](auto reply) {
         return wake_asked{wanted, std::move(reply)};
       });
   if (!outcome) return result_code::server_busy;
--- a/src/agent/report_routes.cpp
+++ b/src/agent/report_routes.cpp
@@ -24,7 +24,7 @@
   report_routes routes;
   for (const auto& target : targets) {
     for (const auto& [region, routers] : routers_of_region) {
-      for (const auto& id : decide::home_order(target, routers, homes_told)) {
+      for (const auto& id : decide::rank_homes(target, routers, homes_told)) {
         routes.by_router[control_of.at(id)].insert(target);
       }
     }
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -8,7 +8,7 @@
 #include <boragehill/result_code.hpp>
 #include <boragehill/time_point.hpp>
 
-#include "decide/attempt_memory.hpp"
+#include "decide/attempt_registry.hpp"
 
 namespace boragehill::decide {
 
@@ -34,11 +34,13 @@
 /// for `exclusive_reservation`.
 class admission {
  public:
-  explicit admission(attempt_memory_settings settings);
+  explicit admission(attempt_registry_settings settings);
 
   /// Sets the fencing number of this incarnation. Offers with a different one
   /// are refused.
-  void take_fence(std::uint64_t fence) { this->own_fence = fence; }
+  void set_fencing_number(std::uint64_t fence) {
+    this->own_fencing_number = fence;
+  }
   /// Sets the number of attempts that may run concurrently.
   void set_slots(std::uint32_t slots) { this->slot_count = slots; }
   /// Refuses every offer from now on.
@@ -51,8 +53,8 @@
   /// \param now The current time.
   /// \return ok, wrong_incarnation, draining, server_busy, the target's code or
   ///   a code of `attempt_registry::check`.
-  admission_verdict decide(const attempt_offer& offer, result_code target,
-                           time_point now);
+  admission_decision decide(const attempt_offer& offer, result_code target,
+                            time_point now);
 
   /// Records the end of an admitted attempt; other ids are ignored.
   ///
@@ -68,7 +70,7 @@
   attempt_state tombstone(const attempt_offer& asked, time_point now);
 
   /// Removes the attempts that are past their retention time.
-  void tick(time_point now) { this->memory.tick(now); }
+  void remove_expired(time_point now) { this->registry.remove_expired(now); }
 
   /// Returns the number of running attempts.
   std::uint32_t running() const { return this->running_count; }
@@ -77,22 +79,22 @@
   /// Returns true if every offer is refused.
   bool draining() const { return this->is_draining; }
   /// Returns the number of attempts in the registry.
-  std::size_t remembered() const { return this->memory.size(); }
+  std::size_t known_attempts() const { return this->registry.size(); }
 
   /// How long no other attempt starts after an exclusive one was rejected as
   /// busy. Its router retries well within this time.
-  static constexpr milliseconds exclusive_hold{1500};
+  static constexpr milliseconds exclusive_reservation{1500};
 
  private:
-  bool may_begin(const attempt_offer& offer, time_point now);
+  bool try_start(const attempt_offer& offer, time_point now);
 
-  attempt_memory memory;
-  std::uint64_t own_fence = 0;
+  attempt_registry registry;
+  std::uint64_t own_fencing_number = 0;
   std::uint32_t slot_count = 0;
   std::uint32_t running_count = 0;
   bool is_draining = false;
-  std::optional<attempt_id> alone;
-  time_point held_until{};
+  std::optional<attempt_id> exclusive_attempt;
+  time_point reserved_until{};
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/attempt_memory.hpp
+++ b/src/decide/attempt_registry.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_ATTEMPT_MEMORY_HPP
-#define BORAGEHILL_DECIDE_ATTEMPT_MEMORY_HPP
+#ifndef BORAGEHILL_DECIDE_ATTEMPT_REGISTRY_HPP
+#define BORAGEHILL_DECIDE_ATTEMPT_REGISTRY_HPP
 
 #include <cstddef>
 #include <set>
@@ -19,24 +19,24 @@
 using attempt_state = wire::attempt_status;
 
 /// The decision whether an offered attempt may run.
-struct admission_verdict {
+struct admission_decision {
   /// ok if the attempt runs now.
   result_code code = result_code::ok;
   /// For a refusal: whether an attempt with this id ran, as far as is known.
   ran_state ran = ran_state::no;
 
-  bool operator==(const admission_verdict&) const = default;
+  bool operator==(const admission_decision&) const = default;
 };
 
 /// Bounds of `attempt_registry`.
-struct attempt_memory_settings {
+struct attempt_registry_settings {
   /// How long an attempt is kept, counted from the end of its permit.
   milliseconds retention{60000};
-  std::size_t most = 65536;
+  std::size_t max_attempts = 65536;
   /// Attempts whose permit ends further in the future are refused.
-  milliseconds longest_permit{600000};
+  milliseconds max_permit_duration{600000};
 
-  bool operator==(const attempt_memory_settings&) const = default;
+  bool operator==(const attempt_registry_settings&) const = default;
 };
 
 /// Lets each attempt id run at most once and keeps the ended ones.
@@ -45,9 +45,9 @@
 /// still stored. So an id that isn't stored either never ran (its permit ends
 /// after the horizon) or was evicted. The horizon is never in the future, so no
 /// id is evicted while its permit still lets it run.
-class attempt_memory {
+class attempt_registry {
  public:
-  explicit attempt_memory(attempt_memory_settings settings);
+  explicit attempt_registry(attempt_registry_settings settings);
 
   /// Returns whether an attempt may begin, without recording it.
   ///
@@ -55,12 +55,12 @@
   /// (the
   ///   permit ends too far in the future) or server_busy (the registry is full
   ///   of attempts that run or whose permits haven't ended).
-  admission_verdict check(const attempt_id& id, time_point permit_end,
-                          time_point now) const;
+  admission_decision check(const attempt_id& id, time_point permit_end,
+                           time_point now) const;
 
   /// Records that an attempt runs from now on, if `check` allows it.
-  admission_verdict begin(const attempt_id& id, time_point permit_end,
-                          time_point now);
+  admission_decision begin(const attempt_id& id, time_point permit_end,
+                           time_point now);
 
   /// Records the end of a running attempt; other ids are ignored.
   ///
@@ -78,10 +78,10 @@
                           time_point now);
 
   /// Removes the ids that are past their retention time.
-  void tick(time_point now);
+  void remove_expired(time_point now);
 
   /// Returns the permit end up to which ids may have been evicted.
-  time_point horizon() const { return this->forgotten_to; }
+  time_point retention_horizon() const { return this->forgotten_until; }
   /// Returns the number of stored ids.
   std::size_t size() const { return this->entries.size(); }
 
@@ -91,18 +91,18 @@
     time_point permit_end{};
   };
 
-  bool has_room(time_point now) const;
-  void make_room();
+  bool has_capacity(time_point now) const;
+  void evict_if_full();
   void insert(const attempt_id& id, entry item);
-  void forget_oldest();
+  void evict_oldest();
 
-  attempt_memory_settings settings;
-  time_point forgotten_to = time_point::min();
+  attempt_registry_settings settings;
+  time_point forgotten_until = time_point::min();
   std::unordered_map<attempt_id, entry> entries;
   /// Ids that aren't running, ordered by the end of their permits.
-  std::set<std::pair<time_point, attempt_id>> at_rest;
+  std::set<std::pair<time_point, attempt_id>> not_running;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ATTEMPT_MEMORY_HPP
+#endif  // BORAGEHILL_DECIDE_ATTEMPT_REGISTRY_HPP
--- a/src/decide/attempt_result.hpp
+++ b/src/decide/attempt_result.hpp
@@ -8,25 +8,25 @@
 /// How a dispatched attempt ended, as observed by the router that sent it.
 enum class attempt_ending {
   /// The end frame's length and checksum match the received response.
-  whole,
+  complete,
   /// The agent stated that it has not run the attempt and won't.
   refused,
   /// The connection wasn't established: the agent has not seen the attempt.
-  never_sent,
+  not_sent,
   /// The attempt was sent, and the response is incomplete.
-  broken,
+  interrupted,
   /// The caller disconnected.
-  caller_gone,
+  caller_disconnected,
 };
 
 /// The result of one dispatched attempt.
 struct attempt_result {
-  attempt_ending ending = attempt_ending::broken;
+  attempt_ending ending = attempt_ending::interrupted;
   result_code code = result_code::ok;
   /// Part of the response was already sent to the caller.
-  bool passed_on = false;
+  bool partly_forwarded = false;
   /// The agent reported that its backend server went down.
-  bool crashed = false;
+  bool server_crashed = false;
 
   bool operator==(const attempt_result&) const = default;
 };
--- a/src/decide/catalog.cpp
+++ b/src/decide/catalog.cpp
@@ -6,18 +6,19 @@
 namespace boragehill::decide {
 
 catalog::catalog(std::uint64_t revision, std::vector<profile> profiles)
-    : number(revision), all(std::move(profiles)) {
-  for (std::size_t i = 0; i < this->all.size(); ++i) {
-    const profile& owner = this->all[i];
-    for (const auto& service : owner.services) this->by_service[service] = i;
+    : revision_number(revision), profile_list(std::move(profiles)) {
+  for (std::size_t i = 0; i < this->profile_list.size(); ++i) {
+    const profile& owner = this->profile_list[i];
+    for (const auto& service : owner.services)
+      this->profile_index_by_service[service] = i;
     for (const auto& model : owner.models) this->add_model(owner, model);
   }
 }
 
 const profile* catalog::profile_of(std::string_view service) const {
-  const auto found = this->by_service.find(service);
-  if (found == this->by_service.end()) return nullptr;
-  return &this->all[found->second];
+  const auto found = this->profile_index_by_service.find(service);
+  if (found == this->profile_index_by_service.end()) return nullptr;
+  return &this->profile_list[found->second];
 }
 
 const model_spec* catalog::spec_of(std::string_view model) const {
@@ -33,7 +34,7 @@
   spec.replicas = std::max(spec.replicas, model.replicas);
   spec.max_replicas =
       std::max({spec.max_replicas, model.max_replicas, spec.replicas});
-  spec.warm = std::max(spec.warm, model.warm);
+  spec.warm_replicas = std::max(spec.warm_replicas, model.warm);
   spec.cold_start_weight =
       std::max(spec.cold_start_weight, owner.cold_start_weight);
   spec.idle_weight = std::max(spec.idle_weight, owner.idle_weight);
--- a/src/decide/catalog.hpp
+++ b/src/decide/catalog.hpp
@@ -27,8 +27,8 @@
   /// \param profiles All profiles in force at this revision.
   catalog(std::uint64_t revision, std::vector<profile> profiles);
 
-  std::uint64_t revision() const { return this->number; }
-  const std::vector<profile>& profiles() const { return this->all; }
+  std::uint64_t revision() const { return this->revision_number; }
+  const std::vector<profile>& profiles() const { return this->profile_list; }
 
   /// Returns the profile that lists a service; null if none does.
   const profile* profile_of(std::string_view service) const;
@@ -46,9 +46,9 @@
  private:
   void add_model(const profile& owner, const profile_model& model);
 
-  std::uint64_t number = 0;
-  std::vector<profile> all;
-  std::map<std::string, std::size_t, std::less<>> by_service;
+  std::uint64_t revision_number = 0;
+  std::vector<profile> profile_list;
+  std::map<std::string, std::size_t, std::less<>> profile_index_by_service;
   std::map<std::string, model_spec, std::less<>> specs;
 };
 
--- a/src/decide/strikes.hpp
+++ b/src/decide/crash_attribution.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_STRIKES_HPP
-#define BORAGEHILL_DECIDE_STRIKES_HPP
+#ifndef BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_HPP
+#define BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/strike_settings.hpp"
-#include "decide/strike_verdict.hpp"
+#include "decide/crash_attribution_settings.hpp"
+#include "decide/isolation_decision.hpp"
 
 namespace boragehill::decide {
 
@@ -21,12 +21,13 @@
 /// apart from each other, so the next crash has a single implicated request in
 /// flight, which is quarantined. If only one poison request is in flight, it is
 /// quarantined at its second crash, and no harmless request is.
-class strikes {
+class crash_attribution {
  public:
-  explicit strikes(strike_settings settings);
+  explicit crash_attribution(crash_attribution_settings settings);
 
   /// Returns whether and how the request may run now.
-  strike_verdict judge(const std::string& fingerprint, time_point now) const;
+  isolation_decision evaluate(const std::string& fingerprint,
+                              time_point now) const;
 
   /// Records the crash of one backend server.
   ///
@@ -38,32 +39,32 @@
 
   /// Clears the crashes of a request that got a complete response. A quarantine
   /// isn't cleared.
-  void on_success(const std::string& fingerprint);
+  void on_completed(const std::string& fingerprint);
 
   /// Adds a quarantine that was received from a peer or read from the table.
-  void convict(const std::string& fingerprint, time_point now);
+  void quarantine(const std::string& fingerprint, time_point now);
 
   /// Returns at most `most` quarantined fingerprints, the latest first.
-  std::vector<std::string> recent_convictions(std::size_t most) const;
+  std::vector<std::string> recent_quarantines(std::size_t most) const;
 
   /// Returns the number of stored fingerprints.
   std::size_t size() const;
 
  private:
   struct entry {
-    std::uint32_t count = 0;
-    bool convicted = false;
-    time_point at;
+    std::uint32_t crash_count = 0;
+    bool is_quarantined = false;
+    time_point recorded_at;
   };
 
   const entry* find(const std::string& fingerprint, time_point now) const;
-  bool is_struck(const std::string& fingerprint, time_point now) const;
-  void make_room(time_point now);
+  bool is_implicated(const std::string& fingerprint, time_point now) const;
+  void evict_excess(time_point now);
 
-  strike_settings settings;
+  crash_attribution_settings settings;
   std::map<std::string, entry> entries;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_STRIKES_HPP
+#endif  // BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_HPP
--- a/src/decide/strike_settings.hpp
+++ b/src/decide/crash_attribution_settings.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_STRIKE_SETTINGS_HPP
-#define BORAGEHILL_DECIDE_STRIKE_SETTINGS_HPP
+#ifndef BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_SETTINGS_HPP
+#define BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_SETTINGS_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -9,17 +9,17 @@
 namespace boragehill::decide {
 
 /// Bounds of `crash_attribution`.
-struct strike_settings {
+struct crash_attribution_settings {
   /// Crashes after which a request is quarantined.
-  std::uint32_t limit = 2;
+  std::uint32_t crash_limit = 2;
   /// Maximum number of stored fingerprints.
   std::size_t capacity = 10000;
   /// How long a crash or a quarantine is kept.
-  milliseconds keep{3600000};
+  milliseconds retention{3600000};
 
-  bool operator==(const strike_settings&) const = default;
+  bool operator==(const crash_attribution_settings&) const = default;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_STRIKE_SETTINGS_HPP
+#endif  // BORAGEHILL_DECIDE_CRASH_ATTRIBUTION_SETTINGS_HPP
--- /dev/null
+++ b/src/decide/crash_counter.cpp
@@ -0,0 +1,65 @@
+#include "decide/crash_counter.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace boragehill::decide {
+
+bool crash_counter::on_crash(const std::string& fingerprint, time_point now) {
+  auto& known = this->entries[fingerprint];
+  if (now - known.recorded_at > retention) known.crash_count = 0;
+  ++known.crash_count;
+  known.recorded_at = now;
+  const bool convicts = known.crash_count == crash_limit;
+  this->evict_excess(now);
+  return convicts;
+}
+
+void crash_counter::quarantine(const std::string& fingerprint, time_point now) {
+  auto& known = this->entries[fingerprint];
+  if (known.crash_count >= crash_limit) return;
+  known = {.crash_count = crash_limit, .recorded_at = now};
+  this->evict_excess(now);
+}
+
+void crash_counter::clear(const std::string& fingerprint) {
+  this->entries.erase(fingerprint);
+}
+
+bool crash_counter::is_over_limit(const entry& known, time_point now) {
+  return known.crash_count >= crash_limit &&
+         now - known.recorded_at <= retention;
+}
+
+bool crash_counter::is_quarantined(const std::string& fingerprint,
+                                   time_point now) const {
+  const auto found = this->entries.find(fingerprint);
+  return found != this->entries.end() && is_over_limit(found->second, now);
+}
+
+std::vector<std::string> crash_counter::quarantined_requests(
+    time_point now) const {
+  std::vector<std::string> found;
+  for (const auto& [fingerprint, known] : this->entries) {
+    if (is_over_limit(known, now)) found.push_back(fingerprint);
+  }
+  return found;
+}
+
+void crash_counter::evict_excess(time_point now) {
+  std::erase_if(this->entries, [now](const auto& each) {
+    return now - each.second.recorded_at > retention;
+  });
+  // A request with few crashes is most likely harmless, so it is evicted first;
+  // of equal counts the oldest.
+  while (this->entries.size() > this->max_requests) {
+    this->entries.erase(std::min_element(
+        this->entries.begin(), this->entries.end(),
+        [](const auto& left, const auto& right) {
+          return std::pair{left.second.crash_count, left.second.recorded_at} <
+                 std::pair{right.second.crash_count, right.second.recorded_at};
+        }));
+  }
+}
+
+}  // namespace boragehill::decide
--- a/src/decide/crash_tally.hpp
+++ b/src/decide/crash_counter.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_CRASH_TALLY_HPP
-#define BORAGEHILL_DECIDE_CRASH_TALLY_HPP
+#ifndef BORAGEHILL_DECIDE_CRASH_COUNTER_HPP
+#define BORAGEHILL_DECIDE_CRASH_COUNTER_HPP
 
 #include <cstddef>
 #include <map>
@@ -14,49 +14,50 @@
 /// `crash_limit`. A router counts its own, the planner those of all routers;
 /// see `crash_tracker`. `crash_attribution` instead isolates implicated
 /// requests.
-class crash_tally {
+class crash_counter {
  public:
   /// Crashes after which a request is quarantined. A harmless request can be in
   /// flight at two if it is retried while a failure domain goes down.
-  static constexpr int limit = 3;
+  static constexpr int crash_limit = 3;
   /// How long crashes and quarantines count. The fault may have been fixed
   /// since then, and one crash in ten minutes is tolerated.
-  static constexpr milliseconds keep{600000};
+  static constexpr milliseconds retention{600000};
 
   /// \param most Maximum number of stored requests; quarantined ones are
   /// evicted
   ///   last.
-  explicit crash_tally(std::size_t most) : most(most) {}
+  explicit crash_counter(std::size_t max_requests)
+      : max_requests(max_requests) {}
 
   /// Records that a run of the request was interrupted.
   /// \return True if the request is quarantined by this crash.
-  bool on_strike(const std::string& fingerprint, time_point now);
+  bool on_crash(const std::string& fingerprint, time_point now);
 
   /// Quarantines a request. An existing quarantine isn't renewed, so that it
   /// expires although each new planner reports it again.
-  void convict(const std::string& fingerprint, time_point now);
+  void quarantine(const std::string& fingerprint, time_point now);
 
   /// Removes a request that is known to be harmless.
-  void forget(const std::string& fingerprint);
+  void clear(const std::string& fingerprint);
 
-  bool is_convicted(const std::string& fingerprint, time_point now) const;
+  bool is_quarantined(const std::string& fingerprint, time_point now) const;
 
   /// \return The fingerprints of all quarantined requests.
-  std::vector<std::string> convicted(time_point now) const;
+  std::vector<std::string> quarantined_requests(time_point now) const;
 
  private:
   struct entry {
-    int strikes = 0;
-    time_point at;
+    int crash_count = 0;
+    time_point recorded_at;
   };
 
-  static bool is_guilty(const entry& known, time_point now);
-  void make_room(time_point now);
+  static bool is_over_limit(const entry& known, time_point now);
+  void evict_excess(time_point now);
 
-  std::size_t most;
+  std::size_t max_requests;
   std::map<std::string, entry> entries;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_CRASH_TALLY_HPP
+#endif  // BORAGEHILL_DECIDE_CRASH_COUNTER_HPP
--- a/src/decide/crash_watch.hpp
+++ b/src/decide/crash_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_CRASH_WATCH_HPP
-#define BORAGEHILL_DECIDE_CRASH_WATCH_HPP
+#ifndef BORAGEHILL_DECIDE_CRASH_TRACKER_HPP
+#define BORAGEHILL_DECIDE_CRASH_TRACKER_HPP
 
 #include <cstddef>
 #include <deque>
@@ -9,7 +9,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/crash_tally.hpp"
+#include "decide/crash_counter.hpp"
 
 namespace boragehill::decide {
 
@@ -25,41 +25,41 @@
 /// at this router, whatever the planner reports: many callers send identical
 /// requests, and refusing all of them after three cut connections would be
 /// worse than a crash.
-class crash_watch {
+class crash_tracker {
  public:
   /// Completed requests stored; at ten per second and router, about 200 s.
-  static constexpr std::size_t most_answered = 2048;
+  static constexpr std::size_t max_completed = 2048;
   /// Implicated or quarantined requests stored.
-  static constexpr std::size_t most_struck = 256;
+  static constexpr std::size_t max_implicated = 256;
 
   /// Records a run that was interrupted before the end of its response.
-  void on_broken(const std::string& fingerprint, time_point now);
+  void on_interrupted(const std::string& fingerprint, time_point now);
 
   /// Records a run with a complete response.
-  void on_answered(const std::string& fingerprint);
+  void on_completed(const std::string& fingerprint);
 
   /// Records that the planner quarantined a request, by the crashes of all
   /// routers.
-  void on_convicted(const std::string& fingerprint, time_point now);
+  void on_quarantined(const std::string& fingerprint, time_point now);
 
   /// \return True if the request must not run again.
-  bool is_convicted(const std::string& fingerprint, time_point now) const;
+  bool is_quarantined(const std::string& fingerprint, time_point now) const;
 
   /// \return The fingerprints of the crashes since the last call, one entry per
   ///   crash, to be sent to the planner.
-  std::vector<std::string> take_strikes();
+  std::vector<std::string> take_crash_reports();
 
   /// Reports the crashes of all quarantined requests once more, for a new
   /// planner, which has no counts.
-  void tell_again(time_point now);
+  void report_quarantined_again(time_point now);
 
  private:
-  crash_tally struck{most_struck};
-  std::unordered_set<std::string> answered;
-  std::deque<std::string> answered_by_age;
-  std::vector<std::string> untold;
+  crash_counter implicated{max_implicated};
+  std::unordered_set<std::string> completed;
+  std::deque<std::string> completed_by_age;
+  std::vector<std::string> unreported;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_CRASH_WATCH_HPP
+#endif  // BORAGEHILL_DECIDE_CRASH_TRACKER_HPP
--- a/src/decide/decaying_sum.hpp
+++ b/src/decide/decaying_sum.hpp
@@ -14,20 +14,22 @@
 class decaying_sum {
  public:
   /// \param constant Time after which an amount has 1/e of its weight left.
-  explicit decaying_sum(milliseconds constant) : constant(constant) {}
+  explicit decaying_sum(milliseconds time_constant)
+      : time_constant(time_constant) {}
 
   /// Adds an amount.
   /// \param now Not before the time of the previous call.
   void add(double amount, time_point now) {
     this->sum = this->value(now) + amount;
-    this->last = now;
+    this->last_update = now;
   }
 
   /// \return The decayed sum.
   double value(time_point now) const {
-    const std::chrono::duration<double, std::milli> age = now - this->last;
+    const std::chrono::duration<double, std::milli> age =
+        now - this->last_update;
     const double steps = std::max(age.count(), 0.0) /
-                         static_cast<double>(this->constant.count());
+                         static_cast<double>(this->time_constant.count());
     return this->sum * std::exp(-steps);
   }
 
@@ -35,13 +37,13 @@
   double per_second(time_point now) const {
     constexpr double ms_per_second = 1000;
     return this->value(now) * ms_per_second /
-           static_cast<double>(this->constant.count());
+           static_cast<double>(this->time_constant.count());
   }
 
  private:
-  milliseconds constant;
+  milliseconds time_constant;
   double sum = 0;
-  time_point last;
+  time_point last_update;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/demand_report.hpp
+++ b/src/decide/demand_report.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "decide/model_demand.hpp"
-#include "decide/model_flight.hpp"
+#include "decide/model_in_flight.hpp"
 
 namespace boragehill::decide {
 
@@ -13,9 +13,9 @@
 /// the last report, `in_flight` is the current state.
 struct demand_report {
   std::vector<model_demand> demands;
-  std::vector<model_flight> flights;
+  std::vector<model_in_flight> in_flight;
   /// Servers from which the router receives nothing.
-  std::vector<std::string> silent;
+  std::vector<std::string> unresponsive_servers;
 
   bool operator==(const demand_report&) const = default;
 };
--- a/src/decide/leaving_servers.hpp
+++ b/src/decide/draining_servers.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_LEAVING_SERVERS_HPP
-#define BORAGEHILL_DECIDE_LEAVING_SERVERS_HPP
+#ifndef BORAGEHILL_DECIDE_DRAINING_SERVERS_HPP
+#define BORAGEHILL_DECIDE_DRAINING_SERVERS_HPP
 
 #include <cstddef>
 #include <deque>
@@ -14,24 +14,24 @@
 /// The announcement is final for an incarnation of a server. A server list that
 /// shows otherwise is older, or the server could not write to it. So the
 /// announcement outlives the server's entry in the list.
-class leaving_servers {
+class draining_servers {
  public:
   /// Maximum number of servers; the oldest is removed first.
-  static constexpr std::size_t most = 1024;
+  static constexpr std::size_t max_remembered = 1024;
 
   /// \param server Identifies the incarnation of the server.
   /// \return True if the server was not in the set.
-  bool on_told(const std::string& server);
+  bool add(const std::string& server);
 
   bool contains(const std::string& server) const {
-    return this->told.contains(server);
+    return this->servers.contains(server);
   }
 
  private:
-  std::unordered_set<std::string> told;
-  std::deque<std::string> by_age;
+  std::unordered_set<std::string> servers;
+  std::deque<std::string> insertion_order;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_LEAVING_SERVERS_HPP
+#endif  // BORAGEHILL_DECIDE_DRAINING_SERVERS_HPP
--- a/src/decide/eviction.cpp
+++ b/src/decide/eviction.cpp
@@ -10,57 +10,58 @@
 
 /// Added to the cost of a candidate with a negative keep-warm time. Exceeds any
 /// sum of reload times, so that such a candidate is evicted last.
-constexpr double pinned_loss = 1e12;
+constexpr double pinned_cost_ms = 1e12;
 
-struct weighed {
+struct ranked_candidate {
   const eviction_candidate* candidate;
-  double loss;
+  double cost_ms;
 };
 
-bool cheaper(const weighed& left, const weighed& right) {
-  if (left.loss != right.loss) return left.loss < right.loss;
+bool is_cheaper(const ranked_candidate& left, const ranked_candidate& right) {
+  if (left.cost_ms != right.cost_ms) return left.cost_ms < right.cost_ms;
   return left.candidate->name < right.candidate->name;
 }
 
-std::vector<weighed> weigh(const std::vector<eviction_candidate>& candidates,
-                           time_point now) {
-  std::vector<weighed> list;
+std::vector<ranked_candidate> rank_by_cost(
+    const std::vector<eviction_candidate>& candidates, time_point now) {
+  std::vector<ranked_candidate> list;
   list.reserve(candidates.size());
   for (const auto& candidate : candidates) {
-    list.push_back({&candidate, expected_loss(candidate, now)});
+    list.push_back({&candidate, expected_eviction_cost_ms(candidate, now)});
   }
-  std::sort(list.begin(), list.end(), cheaper);
+  std::sort(list.begin(), list.end(), is_cheaper);
   return list;
 }
 
 }  // namespace
 
-double expected_loss(const eviction_candidate& candidate, time_point now) {
+double expected_eviction_cost_ms(const eviction_candidate& candidate,
+                                 time_point now) {
   const auto reload = static_cast<double>(candidate.reload.count());
-  if (candidate.keep_warm < milliseconds(0)) return pinned_loss + reload;
+  if (candidate.keep_warm < milliseconds(0)) return pinned_cost_ms + reload;
   const auto scale = std::max(candidate.keep_warm, milliseconds(1));
   const std::chrono::duration<double, std::milli> idle =
       std::max(now - candidate.last_used, time_point::duration(0));
   return reload * std::exp(-idle.count() / static_cast<double>(scale.count()));
 }
 
-std::optional<std::string> choose_victim(
+std::optional<std::string> choose_eviction(
     const std::vector<eviction_candidate>& candidates, std::uint64_t needed,
     time_point now) {
-  const std::vector<weighed> list = weigh(candidates, now);
-  const auto single =
-      std::find_if(list.begin(), list.end(), [needed](const weighed& item) {
-        return item.candidate->bytes >= needed;
-      });
+  const std::vector<ranked_candidate> list = rank_by_cost(candidates, now);
+  const auto single = std::find_if(list.begin(), list.end(),
+                                   [needed](const ranked_candidate& item) {
+                                     return item.candidate->bytes >= needed;
+                                   });
   std::uint64_t freed = 0;
   double loss = 0;
-  for (const weighed& item : list) {
+  for (const ranked_candidate& item : list) {
     freed += item.candidate->bytes;
-    loss += item.loss;
+    loss += item.cost_ms;
     if (freed >= needed) break;
   }
   if (freed < needed) return std::nullopt;
-  if (single != list.end() && single->loss <= loss) {
+  if (single != list.end() && single->cost_ms <= loss) {
     return single->candidate->name;
   }
   return list.front().candidate->name;
--- a/src/decide/eviction.hpp
+++ b/src/decide/eviction.hpp
@@ -29,7 +29,8 @@
 ///
 /// The cost is the reload time times the probability of another request, which
 /// is estimated as exp(-idle time / keep-warm time).
-double expected_loss(const eviction_candidate& candidate, time_point now);
+double expected_eviction_cost_ms(const eviction_candidate& candidate,
+                                 time_point now);
 
 /// Chooses the candidate to unload first, so that `needed` bytes become free at
 /// the least expected cost.
@@ -38,7 +39,7 @@
 /// \param needed Bytes to free; more than 0.
 /// \param now The current time.
 /// \return Its name; nothing if all candidates together free too little.
-std::optional<std::string> choose_victim(
+std::optional<std::string> choose_eviction(
     const std::vector<eviction_candidate>& candidates, std::uint64_t needed,
     time_point now);
 
--- a/src/decide/flow_limits.hpp
+++ b/src/decide/flow_limits.hpp
@@ -17,10 +17,10 @@
   std::size_t max_homes = 3;
   /// Maximum number of status queries for an attempt whose agent does not
   /// respond.
-  std::uint32_t max_fate_asks = 3;
+  std::uint32_t max_status_queries = 3;
   /// Time limit of one status query to an agent. No query is sent that could
   /// end after the deadline.
-  milliseconds fate_time{500};
+  milliseconds status_query_timeout{500};
   /// Bound of the first backoff between attempts, before jitter; it doubles
   /// with each attempt up to the cap.
   milliseconds backoff_base{20};
--- a/src/decide/flow_request.hpp
+++ b/src/decide/flow_request.hpp
@@ -24,7 +24,7 @@
   bool non_idempotent = false;
   /// True for a non-idempotent request with an idempotency key: a claim is
   /// written to the table before each dispatch.
-  bool keyed = false;
+  bool has_idempotency_key = false;
   time_point deadline;
 
   bool operator==(const flow_request&) const = default;
--- a/src/decide/flow_step.hpp
+++ b/src/decide/flow_step.hpp
@@ -14,11 +14,11 @@
 namespace boragehill::decide {
 
 /// Request a permit from the home of this rank; 0 is the first.
-struct ask_home {
+struct request_permit {
   std::size_t rank = 0;
-  wire::permit_request ask;
+  wire::permit_request request;
 
-  bool operator==(const ask_home&) const = default;
+  bool operator==(const request_permit&) const = default;
 };
 
 /// Wait for the home to grant or refuse a queued attempt.
@@ -49,19 +49,19 @@
 
 /// Query the agent for the status of an attempt. An attempt that it has not
 /// seen is tombstoned, so that it can't run later.
-struct ask_fate {
+struct query_attempt_status {
   attempt_id attempt;
   wire::permit_answer permit;
 
-  bool operator==(const ask_fate&) const = default;
+  bool operator==(const query_attempt_status&) const = default;
 };
 
 /// Fetch the response that the agent stored for a completed attempt.
-struct fetch_kept {
+struct fetch_stored_response {
   attempt_id attempt;
   wire::permit_answer permit;
 
-  bool operator==(const fetch_kept&) const = default;
+  bool operator==(const fetch_stored_response&) const = default;
 };
 
 /// Wait until the given time, then call `request_flow::on_pause_over`.
@@ -77,16 +77,17 @@
 };
 
 /// Final: the refusal is sent to the caller immediately.
-struct give_up {
-  refusal answer;
+struct refuse_request {
+  refusal response;
 
-  bool operator==(const give_up&) const = default;
+  bool operator==(const refuse_request&) const = default;
 };
 
 /// The next step of a request. There is exactly one at a time.
 using flow_step =
-    std::variant<ask_home, await_permit, write_claim, dispatch, ask_fate,
-                 fetch_kept, pause_until, delivered, give_up>;
+    std::variant<request_permit, await_permit, write_claim, dispatch,
+                 query_attempt_status, fetch_stored_response, pause_until,
+                 delivered, refuse_request>;
 
 }  // namespace boragehill::decide
 
--- a/src/decide/grant_change.cpp
+++ b/src/decide/grant_change.cpp
@@ -18,9 +18,9 @@
 
 /// Removes the grant from both rows. One of them may lack it if an operator
 /// repaired a row by hand.
-std::optional<grant_change> without(const placement& model_row,
-                                    const server_record& server_row,
-                                    const std::string& model) {
+std::optional<grant_change> without_grant(const placement& model_row,
+                                          const server_record& server_row,
+                                          const std::string& model) {
   if (model_row.model != model) return std::nullopt;
   if (!names_server(model_row, server_row.id) &&
       !holds_grant(server_row, model)) {
@@ -70,13 +70,13 @@
   const bool other =
       held != server_row.grants.end() && held->serial != given.serial;
   if (other) return std::nullopt;
-  return without(model_row, server_row, model);
+  return without_grant(model_row, server_row, model);
 }
 
-std::optional<grant_change> remove_gone(const placement& model_row,
-                                        const server_record& server_row,
-                                        const std::string& model) {
-  return without(model_row, server_row, model);
+std::optional<grant_change> remove_grant_of_lost_server(
+    const placement& model_row, const server_record& server_row,
+    const std::string& model) {
+  return without_grant(model_row, server_row, model);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/grant_change.hpp
+++ b/src/decide/grant_change.hpp
@@ -49,9 +49,9 @@
 /// platform's list and does not respond. No acknowledgement is required.
 ///
 /// \return Nothing if neither row contains the grant.
-std::optional<grant_change> remove_gone(const placement& model_row,
-                                        const server_record& server_row,
-                                        const std::string& model);
+std::optional<grant_change> remove_grant_of_lost_server(
+    const placement& model_row, const server_record& server_row,
+    const std::string& model);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/ask_again.hpp
+++ b/src/decide/hedge_schedule.hpp
@@ -1,11 +1,11 @@
-#ifndef BORAGEHILL_DECIDE_ASK_AGAIN_HPP
-#define BORAGEHILL_DECIDE_ASK_AGAIN_HPP
+#ifndef BORAGEHILL_DECIDE_HEDGE_SCHEDULE_HPP
+#define BORAGEHILL_DECIDE_HEDGE_SCHEDULE_HPP
 
 #include <cstdint>
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/ask_again_settings.hpp"
+#include "decide/hedge_settings.hpp"
 
 namespace boragehill::decide {
 
@@ -18,41 +18,42 @@
 /// force after 2 s. A shorter timeout would never get a response from a slow
 /// store. So attempts overlap: recovery is noticed within the interval between
 /// two of them, and each keeps a long timeout.
-class ask_again {
+class hedge_schedule {
  public:
-  explicit ask_again(const ask_again_settings& settings) : settings(settings) {}
+  explicit hedge_schedule(const hedge_settings& settings)
+      : settings(settings) {}
 
   /// Starts the schedule of a new request.
   /// \param wait How long the store may hold the request (long poll).
-  void begin(time_point now, milliseconds wait);
+  void on_request_sent(time_point now, milliseconds wait);
 
   /// Records a hedged copy, sent at the time that `next_time` returned.
-  void on_repeated(time_point now, std::uint64_t random_bits);
+  void on_hedge_sent(time_point now, std::uint64_t random_bits);
 
   /// Records an attempt that ended without a response.
-  void on_failed(time_point now, std::uint64_t random_bits);
+  void on_attempt_failed(time_point now, std::uint64_t random_bits);
 
   /// \return Time to send the next attempt if there is no response by then.
-  time_point next() const { return this->next_attempt; }
+  time_point next_time() const { return this->next_attempt; }
 
   /// \return True if the store counts as lost: an attempt failed, or a second
   ///     hedged copy was due. One late response alone is not enough.
-  bool lost() const;
+  bool is_store_lost() const;
 
   /// \param wait How long the store may hold the attempt.
   /// \return Timeout of an attempt.
-  milliseconds limit(milliseconds wait) const {
-    return wait + this->settings.limit;
+  milliseconds attempt_timeout(milliseconds wait) const {
+    return wait + this->settings.attempt_timeout_margin;
   }
 
  private:
-  ask_again_settings settings;
+  hedge_settings settings;
   time_point next_attempt;
-  milliseconds between{0};
-  int repeats = 0;
+  milliseconds attempt_interval{0};
+  int hedges = 0;
   int failures = 0;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ASK_AGAIN_HPP
+#endif  // BORAGEHILL_DECIDE_HEDGE_SCHEDULE_HPP
--- a/src/decide/ask_again_settings.hpp
+++ b/src/decide/hedge_settings.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_ASK_AGAIN_SETTINGS_HPP
-#define BORAGEHILL_DECIDE_ASK_AGAIN_SETTINGS_HPP
+#ifndef BORAGEHILL_DECIDE_HEDGE_SETTINGS_HPP
+#define BORAGEHILL_DECIDE_HEDGE_SETTINGS_HPP
 
 #include <boragehill/time_point.hpp>
 
@@ -7,26 +7,26 @@
 
 /// Times at which requests to the platform's store are hedged and at which an
 /// attempt times out.
-struct ask_again_settings {
+struct hedge_settings {
   /// Time after the end of the hold time from which a response is overdue. The
   /// store answers in 4 ms, and in tens of times that when it is slow.
-  milliseconds overdue{500};
+  milliseconds overdue_delay{500};
   /// Longest time between two attempts, and twice the shortest, for a request
   /// with a hold time of up to twice this. One with a longer hold time is less
   /// urgent and uses half of that time instead: while the store is down, 340
   /// routers with polls of 1 and 2 s and 600 agents with one of 10 s send it
   /// 1,370 requests a second; it can take 2,000.
-  milliseconds between{600};
+  milliseconds attempt_interval{600};
   /// Longest delay before the first retry of an attempt that failed at once,
   /// for example on a connection that the store had closed.
-  milliseconds first_pause{100};
+  milliseconds first_retry_delay{100};
   /// Timeout of an attempt in addition to its hold time. Longer than the
   /// interval between attempts, so that a slow store can still respond.
-  milliseconds limit{1500};
+  milliseconds attempt_timeout_margin{1500};
 
-  bool operator==(const ask_again_settings&) const = default;
+  bool operator==(const hedge_settings&) const = default;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ASK_AGAIN_SETTINGS_HPP
+#endif  // BORAGEHILL_DECIDE_HEDGE_SETTINGS_HPP
--- a/src/decide/home.cpp
+++ b/src/decide/home.cpp
@@ -9,223 +9,233 @@
 
 namespace boragehill::decide {
 
-home::home(home_settings settings, strike_settings strike_limits)
-    : limits(settings),
-      strike_book(strike_limits),
-      load_means{running_mean(settings.load_time[0]),
-                 running_mean(settings.load_time[1]),
-                 running_mean(settings.load_time[2])} {}
+home::home(home_settings settings, crash_attribution_settings strike_limits)
+    : settings(settings),
+      implicated(strike_limits),
+      mean_load_times{running_mean(settings.initial_load_time[0]),
+                      running_mean(settings.initial_load_time[1]),
+                      running_mean(settings.initial_load_time[2])} {}
 
-wire::permit_answer home::request(const wire::permit_request& ask,
-                                  time_point now) {
-  if (const auto out = this->issued.find(ask.attempt);
-      out != this->issued.end()) {
-    return out->second.answer;
+wire::permit_answer home::request_permit(const wire::permit_request& ask,
+                                         time_point now) {
+  if (const auto out = this->issued_permits.find(ask.attempt);
+      out != this->issued_permits.end()) {
+    return out->second.response;
   }
   wire::permit_answer queued{.attempt = ask.attempt};
   queued.state = wire::permit_state::queued;
-  if (this->waiting_at.contains(ask.attempt)) return queued;
+  if (this->target_by_attempt.contains(ask.attempt)) return queued;
 
-  home_target& target = this->target_of(ask.target);
-  target.last_arrival = now;
-  if (std::holds_alternative<convicted>(
-          this->strike_book.judge(ask.fingerprint, now))) {
-    return this->refuse(ask, result_code::request_convicted, milliseconds{0},
-                        "this request crashed backend servers before");
+  home_target& target = this->find_or_add_target(ask.target);
+  target.last_arrival_at = now;
+  if (std::holds_alternative<quarantined>(
+          this->implicated.evaluate(ask.fingerprint, now))) {
+    return this->make_refusal(ask, result_code::request_convicted,
+                              milliseconds{0},
+                              "this request crashed backend servers before");
   }
-  const bool full = this->waiting_total >= this->limits.queue_total ||
-                    target.queue.size() >= this->limits.queue_per_target;
+  const bool full = this->waiting_total >= this->settings.queue_total ||
+                    target.queue.size() >= this->settings.queue_per_target;
   if (full) {
-    const auto wait = this->estimate(ask.target, ask.adapter, now);
-    return this->refuse(ask, result_code::queue_full, wait,
-                        "the queue of " + ask.target + " is full");
+    const auto wait = this->expected_wait(ask.target, ask.adapter, now);
+    return this->make_refusal(ask, result_code::queue_full, wait,
+                              "the queue of " + ask.target + " is full");
   }
-  waiting_request waiting{.ask = ask,
+  waiting_request waiting{.request = ask,
                           .deadline = now + milliseconds(ask.time_left_ms),
                           .queued_at = now,
-                          .order = this->next_order++};
+                          .sequence = this->next_sequence++};
   target.queue.insert(waiting);
-  this->waiting_at[ask.attempt] = ask.target;
+  this->target_by_attempt[ask.attempt] = ask.target;
   ++this->waiting_total;
-  this->pump(target, now);
-  this->refuse_hopeless(target, now);
+  this->dispatch_queue(target, now);
+  this->refuse_unreachable(target, now);
 
   // A decision made by the dispatch above is returned directly, which saves a
   // call to the entry router.
   const auto own = [&](const home_action& action) {
-    const auto* told = std::get_if<tell_entry>(&action);
-    return told != nullptr && told->answer.attempt == ask.attempt;
+    const auto* told = std::get_if<notify_entry>(&action);
+    return told != nullptr && told->response.attempt == ask.attempt;
   };
   const auto found =
       std::find_if(this->actions.begin(), this->actions.end(), own);
   if (found != this->actions.end()) {
-    wire::permit_answer answer = std::get<tell_entry>(*found).answer;
+    wire::permit_answer answer = std::get<notify_entry>(*found).response;
     this->actions.erase(found);
     return answer;
   }
-  queued.estimate_ms = this->estimate(ask.target, ask.adapter, now).count();
+  queued.estimate_ms =
+      this->expected_wait(ask.target, ask.adapter, now).count();
   return queued;
 }
 
 void home::withdraw(const std::string& attempt, time_point now) {
-  this->release(attempt);
-  const auto at = this->waiting_at.find(attempt);
-  if (at == this->waiting_at.end()) return;
-  home_target& target = this->target_of(at->second);
+  this->release_permit(attempt);
+  const auto at = this->target_by_attempt.find(attempt);
+  if (at == this->target_by_attempt.end()) return;
+  home_target& target = this->find_or_add_target(at->second);
   const auto found = std::find_if(
       target.queue.begin(), target.queue.end(),
-      [&](const auto& waiting) { return waiting.ask.attempt == attempt; });
+      [&](const auto& waiting) { return waiting.request.attempt == attempt; });
   if (found != target.queue.end()) this->erase_waiting(target, found);
-  this->note(target, attempt, "withdrawn by its entry router", now);
+  this->add_note(target, attempt, "withdrawn by its entry router", now);
 }
 
 std::vector<std::string> home::on_renewal(
     const std::vector<std::string>& attempts) {
   std::vector<std::string> unknown;
   for (const auto& attempt : attempts) {
-    if (this->waiting_at.contains(attempt)) continue;
-    const auto out = this->issued.find(attempt);
-    if (out == this->issued.end()) {
+    if (this->target_by_attempt.contains(attempt)) continue;
+    const auto out = this->issued_permits.find(attempt);
+    if (out == this->issued_permits.end()) {
       unknown.push_back(attempt);
       continue;
     }
     const issued_permit& permit = out->second;
-    this->actions.emplace_back(tell_entry{permit.ask.entry, permit.answer});
+    this->actions.emplace_back(
+        notify_entry{permit.request.entry, permit.response});
   }
   return unknown;
 }
 
-void home::on_done(const wire::attempt_end& end, time_point now) {
-  const auto found = this->issued.find(end.attempt);
+void home::on_attempt_end(const wire::attempt_end& end, time_point now) {
+  const auto found = this->issued_permits.find(end.attempt);
   const bool exclusive =
-      found != this->issued.end() && found->second.answer.exclusive;
-  home_target& target = this->target_of(end.target);
-  if (found != this->issued.end() &&
+      found != this->issued_permits.end() && found->second.response.exclusive;
+  home_target& target = this->find_or_add_target(end.target);
+  if (found != this->issued_permits.end() &&
       end.outcome == wire::attempt_outcome::answered) {
-    target.run_time.add(std::chrono::duration_cast<milliseconds>(
+    target.mean_run_time.add(std::chrono::duration_cast<milliseconds>(
         now - found->second.issued_at));
   }
-  this->release(end.attempt);
+  this->release_permit(end.attempt);
 
   if (end.outcome == wire::attempt_outcome::answered) {
-    this->strike_book.on_success(end.fingerprint);
+    this->implicated.on_completed(end.fingerprint);
   }
   if (end.outcome == wire::attempt_outcome::crashed) {
     // An implicated request is quarantined only for a crash while it ran alone
     // on a server. Otherwise a harmless request that shared two servers with
     // poison requests would be refused permanently.
     const bool counts =
-        exclusive || std::holds_alternative<free_to_run>(
-                         this->strike_book.judge(end.fingerprint, now));
+        exclusive || std::holds_alternative<run_normally>(
+                         this->implicated.evaluate(end.fingerprint, now));
     std::vector<std::string> guilty;
-    if (counts) guilty = this->strike_book.on_crash({end.fingerprint}, now);
-    this->note(target, end.attempt, "in flight when " + end.server + " crashed",
-               now);
+    if (counts) guilty = this->implicated.on_crash({end.fingerprint}, now);
+    this->add_note(target, end.attempt,
+                   "in flight when " + end.server + " crashed", now);
     for (auto& fingerprint : guilty) {
-      this->note(target, end.attempt, "convicted: crashed it alone", now);
-      this->actions.emplace_back(share_conviction{std::move(fingerprint)});
+      this->add_note(target, end.attempt, "convicted: crashed it alone", now);
+      this->actions.emplace_back(share_quarantine{std::move(fingerprint)});
     }
   }
   const bool server_failed = end.outcome == wire::attempt_outcome::crashed ||
                              end.outcome == wire::attempt_outcome::lost;
   if (server_failed) this->on_suspected(end.server, now);
-  this->pump(target, now);
+  this->dispatch_queue(target, now);
 }
 
 void home::on_report(const wire::agent_report& report, time_point now) {
   const std::uint32_t own = this->in_flight(report.server);
-  if (!this->known_servers[report.server].take(report, own, now)) return;
+  if (!this->known_servers[report.server].apply_report(report, own, now))
+    return;
   for (const auto& replica : report.replicas) {
     const auto found = this->known_targets.find(model_target(replica.name));
     if (found == this->known_targets.end()) continue;
-    this->pump(found->second, now);
+    this->dispatch_queue(found->second, now);
   }
   if (report.model_server) return;
   const auto pool = this->known_targets.find(pool_target(report.pool));
-  if (pool != this->known_targets.end()) this->pump(pool->second, now);
+  if (pool != this->known_targets.end())
+    this->dispatch_queue(pool->second, now);
 }
 
-void home::on_wake_answer(const order_wake& wake,
-                          const wire::wake_answer& answer, time_point now) {
-  home_target& target = this->target_of(model_target(wake.order.model));
-  const auto ordered = this->find_wake(target, wake);
-  if (ordered == target.wakes.end()) return;
+void home::on_load_response(const order_load& wake,
+                            const wire::wake_answer& answer, time_point now) {
+  home_target& target =
+      this->find_or_add_target(model_target(wake.order.model));
+  const auto ordered = this->find_pending_load(target, wake);
+  if (ordered == target.pending_loads.end()) return;
   if (answer.code == static_cast<int>(result_code::ok)) {
     ordered->accepted = true;
-    ordered->expected_ready = now + milliseconds(answer.ready_in_ms);
+    ordered->expected_ready_at = now + milliseconds(answer.ready_in_ms);
     return;
   }
-  target.wakes.erase(ordered);
-  if (wake.remote) {
-    this->actions.emplace_back(load_ended{wake.server, wake.order.model});
+  target.pending_loads.erase(ordered);
+  if (wake.from_store) {
+    this->actions.emplace_back(report_load_end{wake.server, wake.order.model});
   }
   const auto code = static_cast<result_code>(answer.code);
-  this->note(
+  this->add_note(
       target, {},
       "wake refused by " + wake.server + ": " + std::string(name_of(code)),
       now);
   home_server& server = this->known_servers[wake.server];
-  server.leave_alone_until(now + this->limits.server_cooldown);
-  this->pump(target, now);
+  server.set_cooldown(now + this->settings.server_cooldown);
+  this->dispatch_queue(target, now);
 }
 
-void home::on_wake_paced(const order_wake& wake, milliseconds wait,
-                         time_point now) {
+void home::on_load_deferred(const order_load& wake, milliseconds wait,
+                            time_point now) {
   constexpr milliseconds shortest{100};
   constexpr milliseconds longest{500};
-  home_target& target = this->target_of(model_target(wake.order.model));
-  const auto ordered = this->find_wake(target, wake);
-  if (ordered == target.wakes.end()) return;
-  ordered->paced = true;
-  ordered->again_at = now + std::clamp(wait, shortest, longest);
-  ordered->expected_ready = now + wait + this->load_time(ordered->tier);
+  home_target& target =
+      this->find_or_add_target(model_target(wake.order.model));
+  const auto ordered = this->find_pending_load(target, wake);
+  if (ordered == target.pending_loads.end()) return;
+  ordered->deferred = true;
+  ordered->retry_at = now + std::clamp(wait, shortest, longest);
+  ordered->expected_ready_at = now + wait + this->load_time(ordered->tier);
 }
 
-std::vector<pending_wake>::iterator home::find_wake(home_target& target,
-                                                    const order_wake& wake) {
-  return std::find_if(target.wakes.begin(), target.wakes.end(),
-                      [&](const pending_wake& pending) {
+std::vector<pending_load>::iterator home::find_pending_load(
+    home_target& target, const order_load& wake) {
+  return std::find_if(target.pending_loads.begin(), target.pending_loads.end(),
+                      [&](const pending_load& pending) {
                         return pending.server == wake.server &&
                                pending.adapter == wake.order.adapter;
                       });
 }
 
-void home::on_wake_lost(const order_wake& wake, time_point now) {
-  this->on_wake_answer(wake,
-                       {.code = static_cast<int>(result_code::peer_unreachable),
-                        .ready_in_ms = 0},
-                       now);
+void home::on_load_order_lost(const order_load& wake, time_point now) {
+  this->on_load_response(
+      wake,
+      {.code = static_cast<int>(result_code::peer_unreachable),
+       .ready_in_ms = 0},
+      now);
 }
 
 void home::on_servers(const std::string& name, std::vector<std::string> servers,
                       time_point now) {
-  home_target& target = this->target_of(name);
+  home_target& target = this->find_or_add_target(name);
   target.servers = std::move(servers);
-  target.servers_known = true;
+  target.has_server_list = true;
   std::map<std::string, time_point> since;
   for (const auto& id : target.servers) {
-    const auto before = target.servers_since.find(id);
-    since[id] = before == target.servers_since.end() ? now : before->second;
+    const auto before = target.server_added_at.find(id);
+    since[id] = before == target.server_added_at.end() ? now : before->second;
   }
-  target.servers_since = std::move(since);
-  if (target.servers.size() >= target.wanted_grants) target.wanted_grants = 0;
-  this->pump(target, now);
+  target.server_added_at = std::move(since);
+  if (target.servers.size() >= target.requested_grants)
+    target.requested_grants = 0;
+  this->dispatch_queue(target, now);
 }
 
-void home::on_leaving(const std::string& server) {
-  this->known_servers[server].set_leaving();
+void home::on_draining(const std::string& server) {
+  this->known_servers[server].set_draining();
 }
 
 void home::on_suspected(const std::string& server, time_point now) {
   home_server& known = this->known_servers[server];
-  known.leave_alone_until(now + this->limits.server_cooldown);
+  known.set_cooldown(now + this->settings.server_cooldown);
 }
 
-void home::on_entry_gone(const endpoint& entry, time_point now) {
+void home::on_entry_lost(const endpoint& entry, time_point now) {
   std::vector<std::string> gone;
   for (const auto& [name, target] : this->known_targets) {
     for (const auto& waiting : target.queue) {
-      if (waiting.ask.entry == entry) gone.push_back(waiting.ask.attempt);
+      if (waiting.request.entry == entry)
+        gone.push_back(waiting.request.attempt);
     }
   }
   for (const auto& attempt : gone) this->withdraw(attempt, now);
@@ -238,24 +248,25 @@
     target.spec = spec == nullptr ? std::nullopt : std::optional(*spec);
   }
   for (const auto& [base, spec] : published.models()) {
-    this->target_of(model_target(base)).spec = spec;
+    this->find_or_add_target(model_target(base)).spec = spec;
   }
-  for (auto& [name, target] : this->known_targets) this->pump(target, now);
+  for (auto& [name, target] : this->known_targets)
+    this->dispatch_queue(target, now);
 }
 
-void home::on_conviction(const std::string& fingerprint, time_point now) {
-  this->strike_book.convict(fingerprint, now);
+void home::on_quarantine(const std::string& fingerprint, time_point now) {
+  this->implicated.quarantine(fingerprint, now);
 }
 
 void home::tick(time_point now) {
   std::vector<std::string> lapsed;
-  for (const auto& [attempt, permit] : this->issued) {
-    if (permit.gone_at <= now) lapsed.push_back(attempt);
+  for (const auto& [attempt, permit] : this->issued_permits) {
+    if (permit.expires_at <= now) lapsed.push_back(attempt);
   }
-  for (const auto& attempt : lapsed) this->release(attempt);
+  for (const auto& attempt : lapsed) this->release_permit(attempt);
   for (auto& [name, target] : this->known_targets) {
-    this->pump(target, now);
-    this->refuse_hopeless(target, now);
+    this->dispatch_queue(target, now);
+    this->refuse_unreachable(target, now);
   }
 }
 
@@ -268,16 +279,17 @@
   return found == this->known_targets.end() ? nullptr : &found->second;
 }
 
-home_target& home::target_of(const std::string& name) {
-  const auto [at, added] =
-      this->known_targets.try_emplace(name, name, this->limits.run_time);
+home_target& home::find_or_add_target(const std::string& name) {
+  const auto [at, added] = this->known_targets.try_emplace(
+      name, name, this->settings.initial_run_time);
   (void)added;
   return at->second;
 }
 
-wire::permit_answer home::refuse(const wire::permit_request& ask,
-                                 result_code code, milliseconds retry_after,
-                                 const std::string& reason) {
+wire::permit_answer home::make_refusal(const wire::permit_request& ask,
+                                       result_code code,
+                                       milliseconds retry_after,
+                                       const std::string& reason) {
   wire::permit_answer answer{.attempt = ask.attempt};
   answer.state = wire::permit_state::refused;
   answer.code = static_cast<int>(code);
@@ -290,28 +302,28 @@
                           std::set<waiting_request, by_deadline>::iterator at,
                           result_code code, const std::string& reason,
                           time_point now) {
-  const wire::permit_request ask = at->ask;
+  const wire::permit_request ask = at->request;
   this->erase_waiting(target, at);
-  this->note(target, ask.attempt, "refused: " + reason, now);
-  const auto wait = this->estimate(target.name, ask.adapter, now);
+  this->add_note(target, ask.attempt, "refused: " + reason, now);
+  const auto wait = this->expected_wait(target.name, ask.adapter, now);
   this->actions.emplace_back(
-      tell_entry{ask.entry, this->refuse(ask, code, wait, reason)});
+      notify_entry{ask.entry, this->make_refusal(ask, code, wait, reason)});
 }
 
 std::set<waiting_request, by_deadline>::iterator home::erase_waiting(
     home_target& target, std::set<waiting_request, by_deadline>::iterator at) {
-  this->waiting_at.erase(at->ask.attempt);
+  this->target_by_attempt.erase(at->request.attempt);
   --this->waiting_total;
-  std::erase_if(this->reserved, [&](const auto& entry) {
-    return entry.second == at->ask.attempt;
+  std::erase_if(this->reserved_servers, [&](const auto& entry) {
+    return entry.second == at->request.attempt;
   });
   return target.queue.erase(at);
 }
 
-void home::note(home_target& target, const std::string& attempt,
-                std::string text, time_point now) {
+void home::add_note(home_target& target, const std::string& attempt,
+                    std::string text, time_point now) {
   target.notes.push_back({now, attempt, std::move(text)});
-  if (target.notes.size() > this->limits.notes_per_target) {
+  if (target.notes.size() > this->settings.notes_per_target) {
     target.notes.pop_front();
   }
 }
--- a/src/decide/home.hpp
+++ b/src/decide/home.hpp
@@ -12,12 +12,12 @@
 #include <boragehill/result_code.hpp>
 #include <boragehill/time_point.hpp>
 
+#include "decide/crash_attribution.hpp"
 #include "decide/home_action.hpp"
 #include "decide/home_server.hpp"
 #include "decide/home_settings.hpp"
 #include "decide/home_target.hpp"
 #include "decide/issued_permit.hpp"
-#include "decide/strikes.hpp"
 #include "wire/attempt_end.hpp"
 #include "wire/permit_answer.hpp"
 #include "wire/permit_request.hpp"
@@ -40,14 +40,16 @@
 ///     for (auto& action : h.take_actions()) std::visit(run, action);
 class home {
  public:
-  explicit home(home_settings settings, strike_settings strike_limits);
+  explicit home(home_settings settings,
+                crash_attribution_settings strike_limits);
 
   /// Requests a permit to run an attempt. Idempotent for one attempt.
   ///
   /// \param ask The request; its time left counts from `now`.
   /// \return Granted, queued or refused. A refusal is final for the attempt,
   ///   which was not run.
-  wire::permit_answer request(const wire::permit_request& ask, time_point now);
+  wire::permit_answer request_permit(const wire::permit_request& ask,
+                                     time_point now);
 
   /// Removes a request whose caller has disconnected, or releases a permit that
   /// the entry router will not use.
@@ -60,23 +62,24 @@
   std::vector<std::string> on_renewal(const std::vector<std::string>& attempts);
 
   /// Handles the end of an attempt and releases its permit.
-  void on_done(const wire::attempt_end& end, time_point now);
+  void on_attempt_end(const wire::attempt_end& end, time_point now);
 
   /// Applies an agent's report and dispatches to the slots that it shows free.
   void on_report(const wire::agent_report& report, time_point now);
 
   /// Handles an agent's response to a load order.
-  void on_wake_answer(const order_wake& wake, const wire::wake_answer& answer,
-                      time_point now);
+  void on_load_response(const order_load& wake, const wire::wake_answer& answer,
+                        time_point now);
 
   /// Handles a load that has to wait because the weight store is at its
   /// concurrency limit.
   ///
   /// \param wait Expected time until the load may start.
-  void on_wake_paced(const order_wake& wake, milliseconds wait, time_point now);
+  void on_load_deferred(const order_load& wake, milliseconds wait,
+                        time_point now);
 
   /// Handles a load order that could not be delivered.
-  void on_wake_lost(const order_wake& wake, time_point now);
+  void on_load_order_lost(const order_load& wake, time_point now);
 
   /// Sets the backend servers of a target: those that hold a grant according to
   /// the model's row in the table, or the members of a pool.
@@ -84,20 +87,20 @@
                   time_point now);
 
   /// Marks a server as draining, as the platform or the server itself reported.
-  void on_leaving(const std::string& server);
+  void on_draining(const std::string& server);
 
   /// Handles a failed call to a server: it gets no new requests for
   /// `server_cooldown`.
   void on_suspected(const std::string& server, time_point now);
 
   /// Removes the waiting requests of an entry router that was lost.
-  void on_entry_gone(const endpoint& entry, time_point now);
+  void on_entry_lost(const endpoint& entry, time_point now);
 
   /// Applies the configuration in force.
   void on_catalog(const catalog& published, time_point now);
 
   /// Quarantines a request that the table or another router reported.
-  void on_conviction(const std::string& fingerprint, time_point now);
+  void on_quarantine(const std::string& fingerprint, time_point now);
 
   /// Expires permits, refuses requests that can no longer meet their deadline,
   /// and orders the loads that are due.
@@ -121,15 +124,19 @@
   std::size_t waiting() const { return this->waiting_total; }
 
   /// Returns the number of permits in use, for all targets.
-  std::size_t permits_out() const { return this->issued.size(); }
+  std::size_t outstanding_permits() const {
+    return this->issued_permits.size();
+  }
 
   /// Returns the expected time until a new request for a target would start.
   ///
   /// \param adapter The adapter that the request needs; empty for none.
-  milliseconds estimate(const std::string& target, const std::string& adapter,
-                        time_point now) const;
+  milliseconds expected_wait(const std::string& target,
+                             const std::string& adapter, time_point now) const;
 
-  const strikes& struck() const { return this->strike_book; }
+  const crash_attribution& implicated_requests() const {
+    return this->implicated;
+  }
 
  private:
   struct chosen_server {
@@ -137,10 +144,10 @@
     const home_server* server = nullptr;
   };
 
-  home_target& target_of(const std::string& name);
-  wire::permit_answer refuse(const wire::permit_request& ask, result_code code,
-                             milliseconds retry_after,
-                             const std::string& reason);
+  home_target& find_or_add_target(const std::string& name);
+  wire::permit_answer make_refusal(const wire::permit_request& ask,
+                                   result_code code, milliseconds retry_after,
+                                   const std::string& reason);
   void refuse_waiting(home_target& target,
                       std::set<waiting_request, by_deadline>::iterator at,
                       result_code code, const std::string& reason,
@@ -148,71 +155,75 @@
   std::set<waiting_request, by_deadline>::iterator erase_waiting(
       home_target& target, std::set<waiting_request, by_deadline>::iterator at);
 
-  void pump(home_target& target, time_point now);
+  void dispatch_queue(home_target& target, time_point now);
   bool try_issue(home_target& target, const waiting_request& waiting,
                  time_point now);
   chosen_server choose_server(const home_target& target,
                               const waiting_request& waiting,
                               time_point now) const;
-  const home_server* usable_server(const std::string& id, time_point now) const;
+  const home_server* find_usable_server(const std::string& id,
+                                        time_point now) const;
   bool can_run(const home_target& target, const home_server& server,
                const wire::permit_request& ask) const;
   std::uint32_t in_flight(const std::string& server) const;
-  void issue(home_target& target, const waiting_request& waiting,
-             const chosen_server& chosen, bool exclusive, time_point now);
-  void release(const std::string& attempt);
-
-  void consider_wakes(home_target& target, time_point now);
-  void forget_stale_wakes(home_target& target, time_point now);
-  bool wake_settled(const home_target& target, const pending_wake& wake,
+  void issue_permit(home_target& target, const waiting_request& waiting,
+                    const chosen_server& chosen, bool exclusive,
                     time_point now);
-  void wake_base(home_target& target, time_point now);
-  void wake_adapters(home_target& target, time_point now);
-  void order(home_target& target, const std::string& server,
-             const std::string& adapter, time_point now);
-  order_wake make_order(const home_target& target, const pending_wake& wake,
-                        time_point now) const;
-  void order_paced(home_target& target, time_point now);
-  std::vector<pending_wake>::iterator find_wake(home_target& target,
-                                                const order_wake& wake);
-  void ask_grants(home_target& target, std::uint32_t number,
-                  const std::string& reason, time_point now);
-  std::uint32_t lost_grants(const home_target& target, time_point now) const;
+  void release_permit(const std::string& attempt);
+
+  void schedule_loads(home_target& target, time_point now);
+  void drop_finished_loads(home_target& target, time_point now);
+  bool is_load_finished(const home_target& target, const pending_load& wake,
+                        time_point now);
+  void load_base_model(home_target& target, time_point now);
+  void load_adapters(home_target& target, time_point now);
+  void start_load(home_target& target, const std::string& server,
+                  const std::string& adapter, time_point now);
+  order_load make_load_order(const home_target& target,
+                             const pending_load& wake, time_point now) const;
+  void order_deferred_loads(home_target& target, time_point now);
+  std::vector<pending_load>::iterator find_pending_load(home_target& target,
+                                                        const order_load& wake);
+  void ask_for_grants(home_target& target, std::uint32_t number,
+                      const std::string& reason, time_point now);
+  std::uint32_t unresponsive_servers(const home_target& target,
+                                     time_point now) const;
   std::uint32_t active_replicas(const home_target& target,
                                 time_point now) const;
-  std::string choose_to_wake(const home_target& target, time_point now) const;
+  std::string choose_server_to_load(const home_target& target,
+                                    time_point now) const;
   milliseconds time_to_ready(const home_target& target,
                              const std::string& adapter, time_point now) const;
-  bool load_measured(const home_target& target) const;
+  bool has_measured_load_time(const home_target& target) const;
   milliseconds load_time(checkpoint_tier tier) const {
-    return this->load_means[static_cast<std::size_t>(tier)].value();
+    return this->mean_load_times[static_cast<std::size_t>(tier)].value();
   }
   milliseconds queue_time(const home_target& target, std::size_t ahead,
                           time_point now) const;
-  void refuse_hopeless(home_target& target, time_point now);
-  void note(home_target& target, const std::string& attempt, std::string text,
-            time_point now);
+  void refuse_unreachable(home_target& target, time_point now);
+  void add_note(home_target& target, const std::string& attempt,
+                std::string text, time_point now);
 
-  home_settings limits;
-  strikes strike_book;
+  home_settings settings;
+  crash_attribution implicated;
   std::map<std::string, home_target> known_targets;
   std::map<std::string, home_server> known_servers;
-  std::unordered_map<std::string, issued_permit> issued;
+  std::unordered_map<std::string, issued_permit> issued_permits;
   /// The target of each waiting attempt, by attempt id.
-  std::unordered_map<std::string, std::string> waiting_at;
+  std::unordered_map<std::string, std::string> target_by_attempt;
   std::map<std::string, std::uint32_t> in_flight_by_server;
   /// Servers and targets with an implicated request in flight; at most one
   /// each.
-  std::set<std::string> struck_servers;
-  std::set<std::string> struck_targets;
+  std::set<std::string> exclusive_servers;
+  std::set<std::string> exclusive_targets;
   /// Servers that get no other requests until they are idle, with the attempt
   /// of the implicated request that then runs there.
-  std::map<std::string, std::string> reserved;
+  std::map<std::string, std::string> reserved_servers;
   /// Mean load times by checkpoint tier.
-  std::array<running_mean, 3> load_means;
+  std::array<running_mean, 3> mean_load_times;
   std::vector<home_action> actions;
   std::size_t waiting_total = 0;
-  std::uint64_t next_order = 1;
+  std::uint64_t next_sequence = 1;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/home_action.hpp
+++ b/src/decide/home_action.hpp
@@ -15,61 +15,61 @@
 namespace boragehill::decide {
 
 /// Notify an entry router that its waiting request was granted or refused.
-struct tell_entry {
+struct notify_entry {
   endpoint entry;
-  wire::permit_answer answer;
+  wire::permit_answer response;
 
-  bool operator==(const tell_entry&) const = default;
+  bool operator==(const notify_entry&) const = default;
 };
 
 /// Order a server to load a model or adapter. The response is passed to
 /// `home::on_load_response`.
-struct order_wake {
+struct order_load {
   std::string server;
   endpoint control;
   wire::wake_order order;
   /// Whether it loads from the weight store, whose concurrent loads are
   /// limited.
-  bool remote = false;
+  bool from_store = false;
   /// Time to the earliest deadline of the requests that wait for it.
   milliseconds time_left{0};
 
-  bool operator==(const order_wake&) const = default;
+  bool operator==(const order_load&) const = default;
 };
 
 /// Report that a load from the weight store completed or failed.
-struct load_ended {
+struct report_load_end {
   std::string server;
   std::string model;
   /// How long the load took; 0 if it failed.
-  milliseconds took{0};
+  milliseconds duration{0};
 
-  bool operator==(const load_ended&) const = default;
+  bool operator==(const report_load_end&) const = default;
 };
 
 /// Add grants for a model, by conditional writes, until it has `count`.
-struct want_grants {
+struct request_grants {
   std::string model;
-  std::uint32_t number = 0;
+  std::uint32_t count = 0;
   /// Servers without a recent report. Their grants do not count.
-  std::vector<std::string> not_counted;
+  std::vector<std::string> uncounted_servers;
   std::string reason;
   /// Whether no request waits for the model.
-  bool ahead = false;
+  bool is_proactive = false;
 
-  bool operator==(const want_grants&) const = default;
+  bool operator==(const request_grants&) const = default;
 };
 
 /// Tell the other routers and the table about a quarantined request.
-struct share_conviction {
+struct share_quarantine {
   std::string fingerprint;
 
-  bool operator==(const share_conviction&) const = default;
+  bool operator==(const share_quarantine&) const = default;
 };
 
 /// What a home asks its caller to carry out.
-using home_action = std::variant<tell_entry, order_wake, want_grants,
-                                 share_conviction, load_ended>;
+using home_action = std::variant<notify_entry, order_load, request_grants,
+                                 share_quarantine, report_load_end>;
 
 }  // namespace boragehill::decide
 
--- a/src/decide/home_dispatch.cpp
+++ b/src/decide/home_dispatch.cpp
@@ -9,10 +9,10 @@
 
 namespace boragehill::decide {
 
-void home::pump(home_target& target, time_point now) {
+void home::dispatch_queue(home_target& target, time_point now) {
   auto at = target.queue.begin();
   std::size_t skipped = 0;
-  while (at != target.queue.end() && skipped < this->limits.scan_limit) {
+  while (at != target.queue.end() && skipped < this->settings.scan_limit) {
     if (at->deadline <= now) {
       const auto expired = at++;
       this->refuse_waiting(target, expired, result_code::deadline_passed,
@@ -26,25 +26,26 @@
     ++skipped;
     ++at;
   }
-  this->consider_wakes(target, now);
+  this->schedule_loads(target, now);
 }
 
 bool home::try_issue(home_target& target, const waiting_request& waiting,
                      time_point now) {
-  const auto verdict = this->strike_book.judge(waiting.ask.fingerprint, now);
-  const bool exclusive = std::holds_alternative<run_alone>(verdict);
+  const auto verdict =
+      this->implicated.evaluate(waiting.request.fingerprint, now);
+  const bool exclusive = std::holds_alternative<run_isolated>(verdict);
   // Implicated requests run one at a time, so that a crash identifies the one
   // that caused it.
-  if (exclusive && this->struck_targets.contains(target.name)) return false;
+  if (exclusive && this->exclusive_targets.contains(target.name)) return false;
   const chosen_server chosen = this->choose_server(target, waiting, now);
   if (chosen.server == nullptr) return false;
   if (exclusive && this->in_flight(chosen.id) > 0) {
     // Without the reservation other requests might keep every server busy, and
     // this one would never run alone.
-    this->reserved.emplace(chosen.id, waiting.ask.attempt);
+    this->reserved_servers.emplace(chosen.id, waiting.request.attempt);
     return false;
   }
-  this->issue(target, waiting, chosen, exclusive, now);
+  this->issue_permit(target, waiting, chosen, exclusive, now);
   return true;
 }
 
@@ -57,21 +58,22 @@
   // them again is better than waiting until the deadline.
   const bool all_excluded = std::all_of(
       target.servers.begin(), target.servers.end(),
-      [&](const auto& id) { return contains(waiting.ask.excluded, id); });
+      [&](const auto& id) { return contains(waiting.request.excluded, id); });
   for (const auto& id : target.servers) {
-    if (!all_excluded && contains(waiting.ask.excluded, id)) continue;
-    const home_server* server = this->usable_server(id, now);
+    if (!all_excluded && contains(waiting.request.excluded, id)) continue;
+    const home_server* server = this->find_usable_server(id, now);
     if (server == nullptr) continue;
-    if (!this->can_run(target, *server, waiting.ask)) continue;
-    if (this->struck_servers.contains(id)) continue;
-    const auto kept = this->reserved.find(id);
-    const bool kept_for_other =
-        kept != this->reserved.end() && kept->second != waiting.ask.attempt;
+    if (!this->can_run(target, *server, waiting.request)) continue;
+    if (this->exclusive_servers.contains(id)) continue;
+    const auto kept = this->reserved_servers.find(id);
+    const bool kept_for_other = kept != this->reserved_servers.end() &&
+                                kept->second != waiting.request.attempt;
     if (kept_for_other) continue;
     // Reports lag, so this home counts its own permits itself. By the report
     // alone, a server that was full when it reported would be left idle until
     // its next report.
-    const std::uint32_t load = server->others_running() + this->in_flight(id);
+    const std::uint32_t load =
+        server->running_for_others() + this->in_flight(id);
     if (load >= server->report().slots) continue;
     if (best.server != nullptr && load >= best_load) continue;
     best = {id, server};
@@ -80,11 +82,12 @@
   return best;
 }
 
-const home_server* home::usable_server(const std::string& id,
-                                       time_point now) const {
+const home_server* home::find_usable_server(const std::string& id,
+                                            time_point now) const {
   const auto known = this->known_servers.find(id);
   if (known == this->known_servers.end()) return nullptr;
-  const bool usable = known->second.usable(now, this->limits.report_silence);
+  const bool usable =
+      known->second.is_usable(now, this->settings.report_timeout);
   return usable ? &known->second : nullptr;
 }
 
@@ -102,10 +105,11 @@
   return found == this->in_flight_by_server.end() ? 0 : found->second;
 }
 
-void home::issue(home_target& target, const waiting_request& waiting,
-                 const chosen_server& chosen, bool exclusive, time_point now) {
+void home::issue_permit(home_target& target, const waiting_request& waiting,
+                        const chosen_server& chosen, bool exclusive,
+                        time_point now) {
   const wire::agent_report& report = chosen.server->report();
-  wire::permit_answer answer{.attempt = waiting.ask.attempt};
+  wire::permit_answer answer{.attempt = waiting.request.attempt};
   answer.state = wire::permit_state::granted;
   answer.server = chosen.id;
   answer.data = report.data;
@@ -115,34 +119,35 @@
   // In the agent's clock, so that the agent refuses the attempt if its sender
   // was paused and it arrives too late.
   answer.permit_end_ms =
-      chosen.server->agent_clock(now) + this->limits.permit_allowance.count();
-  const auto slack = this->limits.permit_allowance * 2;
-  this->issued[answer.attempt] = {.ask = waiting.ask,
-                                  .answer = answer,
-                                  .issued_at = now,
-                                  .gone_at = waiting.deadline + slack};
+      chosen.server->agent_clock(now) + this->settings.permit_allowance.count();
+  const auto slack = this->settings.permit_allowance * 2;
+  this->issued_permits[answer.attempt] = {
+      .request = waiting.request,
+      .response = answer,
+      .issued_at = now,
+      .expires_at = waiting.deadline + slack};
   ++this->in_flight_by_server[chosen.id];
   if (exclusive) {
-    this->struck_servers.insert(chosen.id);
-    this->struck_targets.insert(target.name);
+    this->exclusive_servers.insert(chosen.id);
+    this->exclusive_targets.insert(target.name);
   }
-  this->note(target, answer.attempt, "sent to " + chosen.id, now);
-  this->actions.emplace_back(tell_entry{waiting.ask.entry, answer});
+  this->add_note(target, answer.attempt, "sent to " + chosen.id, now);
+  this->actions.emplace_back(notify_entry{waiting.request.entry, answer});
 }
 
-void home::release(const std::string& attempt) {
-  const auto found = this->issued.find(attempt);
-  if (found == this->issued.end()) return;
+void home::release_permit(const std::string& attempt) {
+  const auto found = this->issued_permits.find(attempt);
+  if (found == this->issued_permits.end()) return;
   const issued_permit& permit = found->second;
-  if (permit.answer.exclusive) {
-    this->struck_servers.erase(permit.answer.server);
-    this->struck_targets.erase(permit.ask.target);
+  if (permit.response.exclusive) {
+    this->exclusive_servers.erase(permit.response.server);
+    this->exclusive_targets.erase(permit.request.target);
   }
-  const auto count = this->in_flight_by_server.find(permit.answer.server);
+  const auto count = this->in_flight_by_server.find(permit.response.server);
   if (count != this->in_flight_by_server.end() && --count->second == 0) {
     this->in_flight_by_server.erase(count);
   }
-  this->issued.erase(found);
+  this->issued_permits.erase(found);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/home_estimates.cpp
+++ b/src/decide/home_estimates.cpp
@@ -16,7 +16,7 @@
   const std::string model = model_of_target(target.name);
   milliseconds best = this->load_time(checkpoint_tier::remote);
   for (const auto& id : target.servers) {
-    const home_server* server = this->usable_server(id, now);
+    const home_server* server = this->find_usable_server(id, now);
     if (server == nullptr) continue;
     const auto* replica = server->replica(model);
     milliseconds wait = this->load_time(server->tier(model));
@@ -29,10 +29,10 @@
     }
     best = std::min(best, wait);
   }
-  for (const auto& wake : target.wakes) {
+  for (const auto& wake : target.pending_loads) {
     if (wake.adapter != adapter && !wake.adapter.empty()) continue;
     const auto left =
-        std::chrono::duration_cast<milliseconds>(wake.expected_ready - now);
+        std::chrono::duration_cast<milliseconds>(wake.expected_ready_at - now);
     best = std::min(best, std::max(left, milliseconds{0}));
   }
   return best;
@@ -43,7 +43,7 @@
   std::uint32_t slots = 0;
   std::uint32_t cold_slots = 0;
   for (const auto& id : target.servers) {
-    const home_server* server = this->usable_server(id, now);
+    const home_server* server = this->find_usable_server(id, now);
     if (server == nullptr) continue;
     const std::uint32_t own = server->report().slots;
     cold_slots = std::max(cold_slots, own);
@@ -55,18 +55,19 @@
   if (slots == 0) slots = cold_slots;
   const auto rounds =
       static_cast<std::int64_t>(ahead / std::max<std::uint32_t>(slots, 1));
-  return target.run_time.value() * rounds;
+  return target.mean_run_time.value() * rounds;
 }
 
-milliseconds home::estimate(const std::string& name, const std::string& adapter,
-                            time_point now) const {
+milliseconds home::expected_wait(const std::string& name,
+                                 const std::string& adapter,
+                                 time_point now) const {
   const home_target* target = this->target(name);
   if (target == nullptr) return this->load_time(checkpoint_tier::remote);
   return this->time_to_ready(*target, adapter, now) +
          this->queue_time(*target, target->queue.size(), now);
 }
 
-bool home::load_measured(const home_target& target) const {
+bool home::has_measured_load_time(const home_target& target) const {
   if (!is_model_target(target.name)) return true;
   const std::string model = model_of_target(target.name);
   return std::any_of(
@@ -74,18 +75,18 @@
         const auto known = this->known_servers.find(id);
         if (known == this->known_servers.end()) return false;
         const auto tier = static_cast<std::size_t>(known->second.tier(model));
-        return this->load_means[tier].measured();
+        return this->mean_load_times[tier].has_measurement();
       });
 }
 
-void home::refuse_hopeless(home_target& target, time_point now) {
+void home::refuse_unreachable(home_target& target, time_point now) {
   // The initial load times are only guesses. Requests are refused by measured
   // load times alone.
-  if (!this->load_measured(target)) return;
+  if (!this->has_measured_load_time(target)) return;
   std::size_t ahead = 0;
   auto at = target.queue.begin();
   while (at != target.queue.end()) {
-    const auto start = this->time_to_ready(target, at->ask.adapter, now) +
+    const auto start = this->time_to_ready(target, at->request.adapter, now) +
                        this->queue_time(target, ahead, now);
     if (now + start <= at->deadline) {
       ++ahead;
--- a/src/decide/home_wakes.cpp
+++ b/src/decide/home_loads.cpp
@@ -15,56 +15,56 @@
 
 /// Returns whether a load of the base model is pending at a server.
 bool is_waking(const home_target& target, const std::string& server) {
-  return std::any_of(target.wakes.begin(), target.wakes.end(),
-                     [&](const pending_wake& wake) {
+  return std::any_of(target.pending_loads.begin(), target.pending_loads.end(),
+                     [&](const pending_load& wake) {
                        return wake.server == server && wake.adapter.empty();
                      });
 }
 
 }  // namespace
 
-void home::consider_wakes(home_target& target, time_point now) {
+void home::schedule_loads(home_target& target, time_point now) {
   if (!is_model_target(target.name) || !target.spec) return;
-  this->forget_stale_wakes(target, now);
-  const std::uint32_t lost = this->lost_grants(target, now);
+  this->drop_finished_loads(target, now);
+  const std::uint32_t lost = this->unresponsive_servers(target, now);
   const std::uint32_t standing = target.spec->replicas + lost;
   // A target without requests whose row was never read here belongs to another
   // home. Requesting grants for it would have each router read every model's
   // row.
-  const bool concerned = target.servers_known || !target.queue.empty();
+  const bool concerned = target.has_server_list || !target.queue.empty();
   if (concerned && target.servers.size() < standing) {
-    this->ask_grants(
+    this->ask_for_grants(
         target, standing,
         lost == 0 ? "grants ahead of need" : "granted servers not heard of",
         now);
   }
-  this->order_paced(target, now);
-  this->wake_base(target, now);
-  this->wake_adapters(target, now);
+  this->order_deferred_loads(target, now);
+  this->load_base_model(target, now);
+  this->load_adapters(target, now);
 }
 
-void home::forget_stale_wakes(home_target& target, time_point now) {
-  std::erase_if(target.wakes, [&](const pending_wake& wake) {
-    return this->wake_settled(target, wake, now);
+void home::drop_finished_loads(home_target& target, time_point now) {
+  std::erase_if(target.pending_loads, [&](const pending_load& wake) {
+    return this->is_load_finished(target, wake, now);
   });
 }
 
-bool home::wake_settled(const home_target& target, const pending_wake& wake,
-                        time_point now) {
+bool home::is_load_finished(const home_target& target, const pending_load& wake,
+                            time_point now) {
   const auto found = this->known_servers.find(wake.server);
   if (found == this->known_servers.end()) return true;
   const home_server& server = found->second;
-  if (!server.usable(now, this->limits.report_silence)) return true;
+  if (!server.is_usable(now, this->settings.report_timeout)) return true;
   const auto* replica = server.replica(model_of_target(target.name));
   const bool held =
       replica != nullptr && replica->state == wire::replica_state::ready;
   if (held && wake.adapter.empty()) {
     const auto took =
         std::chrono::duration_cast<milliseconds>(now - wake.ordered_at);
-    this->load_means[static_cast<std::size_t>(wake.tier)].add(took);
+    this->mean_load_times[static_cast<std::size_t>(wake.tier)].add(took);
     if (wake.tier == checkpoint_tier::remote) {
       this->actions.emplace_back(
-          load_ended{wake.server, model_of_target(target.name), took});
+          report_load_end{wake.server, model_of_target(target.name), took});
     }
     return true;
   }
@@ -73,96 +73,99 @@
   // again.
   const bool loading =
       replica != nullptr && replica->state == wire::replica_state::loading;
-  if (loading || wake.paced) return false;
-  return now > wake.expected_ready + this->limits.wake_confirm;
+  if (loading || wake.deferred) return false;
+  return now > wake.expected_ready_at + this->settings.load_confirm_timeout;
 }
 
-void home::wake_base(home_target& target, time_point now) {
+void home::load_base_model(home_target& target, time_point now) {
   const std::uint32_t active = this->active_replicas(target, now);
-  const bool needed = !target.queue.empty() || active < target.spec->warm;
+  const bool needed =
+      !target.queue.empty() || active < target.spec->warm_replicas;
   if (!needed) return;
   // One load serves the whole first burst. A further replica pays off only if
   // the queue takes longer than the scale-out wait.
-  if (active > 0 && active >= target.spec->warm) {
+  if (active > 0 && active >= target.spec->warm_replicas) {
     const auto wait = this->queue_time(target, target.queue.size(), now);
-    if (wait <= this->limits.scale_out_wait) return;
+    if (wait <= this->settings.scale_out_wait) return;
     const bool loading =
-        std::any_of(target.wakes.begin(), target.wakes.end(),
+        std::any_of(target.pending_loads.begin(), target.pending_loads.end(),
                     [](const auto& wake) { return wake.adapter.empty(); });
     if (loading) return;
   }
-  const std::string server = this->choose_to_wake(target, now);
+  const std::string server = this->choose_server_to_load(target, now);
   if (!server.empty()) {
-    this->order(target, server, {}, now);
+    this->start_load(target, server, {}, now);
     return;
   }
-  if (!target.servers_known) return;
+  if (!target.has_server_list) return;
   const bool all_used = active >= target.servers.size();
   const std::uint32_t most =
-      target.spec->max_replicas + this->lost_grants(target, now);
+      target.spec->max_replicas + this->unresponsive_servers(target, now);
   if (all_used && target.servers.size() < most) {
-    this->ask_grants(target,
-                     static_cast<std::uint32_t>(target.servers.size() + 1),
-                     "the queue outlasts its replicas", now);
+    this->ask_for_grants(target,
+                         static_cast<std::uint32_t>(target.servers.size() + 1),
+                         "the queue outlasts its replicas", now);
   }
 }
 
-void home::wake_adapters(home_target& target, time_point now) {
+void home::load_adapters(home_target& target, time_point now) {
   const std::string model = model_of_target(target.name);
   std::set<std::string> wanted;
   for (const auto& waiting : target.queue) {
-    if (!waiting.ask.adapter.empty()) wanted.insert(waiting.ask.adapter);
+    if (!waiting.request.adapter.empty())
+      wanted.insert(waiting.request.adapter);
   }
   for (const auto& adapter : wanted) {
     const bool ordered =
-        std::any_of(target.wakes.begin(), target.wakes.end(),
+        std::any_of(target.pending_loads.begin(), target.pending_loads.end(),
                     [&](const auto& wake) { return wake.adapter == adapter; });
     if (ordered) continue;
     for (const auto& id : target.servers) {
       const auto known = this->known_servers.find(id);
       if (known == this->known_servers.end()) continue;
       const home_server& server = known->second;
-      if (!server.usable(now, this->limits.report_silence)) continue;
+      if (!server.is_usable(now, this->settings.report_timeout)) continue;
       const auto* replica = server.replica(model);
       if (replica == nullptr) continue;
       if (replica->state != wire::replica_state::ready) continue;
       if (contains(replica->adapters, adapter)) break;
-      this->order(target, id, adapter, now);
+      this->start_load(target, id, adapter, now);
       break;
     }
   }
 }
 
-void home::order(home_target& target, const std::string& server_id,
-                 const std::string& adapter, time_point now) {
+void home::start_load(home_target& target, const std::string& server_id,
+                      const std::string& adapter, time_point now) {
   const home_server& server = this->known_servers[server_id];
   const std::string model = model_of_target(target.name);
   const checkpoint_tier tier =
       adapter.empty() ? server.tier(model) : checkpoint_tier::memory;
   const milliseconds load = this->load_time(tier);
-  target.wakes.push_back({.server = server_id,
-                          .adapter = adapter,
-                          .ordered_at = now,
-                          .expected_ready = now + load,
-                          .tier = tier});
-  this->note(target, {},
-             "wake " + (adapter.empty() ? model : model + ":" + adapter) +
-                 " at " + server_id + " for " +
-                 std::to_string(target.queue.size()) + " waiting",
-             now);
+  target.pending_loads.push_back({.server = server_id,
+                                  .adapter = adapter,
+                                  .ordered_at = now,
+                                  .expected_ready_at = now + load,
+                                  .tier = tier});
+  this->add_note(target, {},
+                 "wake " + (adapter.empty() ? model : model + ":" + adapter) +
+                     " at " + server_id + " for " +
+                     std::to_string(target.queue.size()) + " waiting",
+                 now);
   this->actions.emplace_back(
-      this->make_order(target, target.wakes.back(), now));
+      this->make_load_order(target, target.pending_loads.back(), now));
 }
 
-order_wake home::make_order(const home_target& target, const pending_wake& wake,
-                            time_point now) const {
+order_load home::make_load_order(const home_target& target,
+                                 const pending_load& wake,
+                                 time_point now) const {
   const break_even_rule rule{target.spec->cold_start_weight,
                              target.spec->idle_weight};
   // The cost of evicting the model is that of a reload, not of this load: the
   // checkpoint stays cached in the server's memory after the model is unloaded.
   const milliseconds reload = this->load_time(checkpoint_tier::memory);
   milliseconds keep = keep_warm_time(rule, reload, {});
-  if (this->active_replicas(target, now) <= target.spec->warm) {
+  if (this->active_replicas(target, now) <= target.spec->warm_replicas) {
     keep = milliseconds(-1);
   }
   milliseconds left{0};
@@ -177,54 +180,57 @@
                     .bytes = target.spec->bytes,
                     .adapter_bytes = target.spec->adapter_bytes,
                     .keep_warm_ms = keep.count()},
-          .remote = wake.tier == checkpoint_tier::remote,
+          .from_store = wake.tier == checkpoint_tier::remote,
           .time_left = left};
 }
 
-void home::order_paced(home_target& target, time_point now) {
-  for (auto& wake : target.wakes) {
-    if (!wake.paced || now < wake.again_at) continue;
-    wake.paced = false;
+void home::order_deferred_loads(home_target& target, time_point now) {
+  for (auto& wake : target.pending_loads) {
+    if (!wake.deferred || now < wake.retry_at) continue;
+    wake.deferred = false;
     wake.ordered_at = now;
-    this->actions.emplace_back(this->make_order(target, wake, now));
+    this->actions.emplace_back(this->make_load_order(target, wake, now));
   }
 }
 
-void home::ask_grants(home_target& target, std::uint32_t number,
-                      const std::string& reason, time_point now) {
-  const bool asked_lately = target.wanted_grants >= number &&
-                            now - target.wanted_at < this->limits.wake_confirm;
+void home::ask_for_grants(home_target& target, std::uint32_t number,
+                          const std::string& reason, time_point now) {
+  const bool asked_lately =
+      target.requested_grants >= number &&
+      now - target.grants_requested_at < this->settings.load_confirm_timeout;
   if (asked_lately) return;
-  target.wanted_grants = number;
-  target.wanted_at = now;
-  want_grants wanted{.model = model_of_target(target.name),
-                     .number = number,
-                     .not_counted = {},
-                     .reason = reason,
-                     .ahead = target.queue.empty()};
+  target.requested_grants = number;
+  target.grants_requested_at = now;
+  request_grants wanted{.model = model_of_target(target.name),
+                        .count = number,
+                        .uncounted_servers = {},
+                        .reason = reason,
+                        .is_proactive = target.queue.empty()};
   for (const auto& id : target.servers) {
     const auto known = this->known_servers.find(id);
-    const bool heard = known != this->known_servers.end() &&
-                       known->second.heard(now, this->limits.report_silence);
-    if (!heard) wanted.not_counted.push_back(id);
+    const bool heard =
+        known != this->known_servers.end() &&
+        known->second.has_recent_report(now, this->settings.report_timeout);
+    if (!heard) wanted.uncounted_servers.push_back(id);
   }
-  this->note(target, {},
-             "wants " + std::to_string(number) + " grants: " + reason, now);
+  this->add_note(target, {},
+                 "wants " + std::to_string(number) + " grants: " + reason, now);
   this->actions.emplace_back(std::move(wanted));
 }
 
-std::uint32_t home::lost_grants(const home_target& target,
-                                time_point now) const {
-  const milliseconds limit = this->limits.report_silence * 2;
+std::uint32_t home::unresponsive_servers(const home_target& target,
+                                         time_point now) const {
+  const milliseconds limit = this->settings.report_timeout * 2;
   const auto silent = [&](const std::string& id) {
     const auto known = this->known_servers.find(id);
-    if (known != this->known_servers.end() && known->second.heard(now, limit)) {
+    if (known != this->known_servers.end() &&
+        known->second.has_recent_report(now, limit)) {
       return false;
     }
     // A server that was granted just now, or that a new home has just read from
     // the table, gets the time to report here first.
-    const auto since = target.servers_since.find(id);
-    return since != target.servers_since.end() && now - since->second > limit;
+    const auto since = target.server_added_at.find(id);
+    return since != target.server_added_at.end() && now - since->second > limit;
   };
   return static_cast<std::uint32_t>(
       std::count_if(target.servers.begin(), target.servers.end(), silent));
@@ -235,7 +241,7 @@
   const std::string model = model_of_target(target.name);
   const auto active = [&](const std::string& id) {
     if (is_waking(target, id)) return true;
-    const home_server* server = this->usable_server(id, now);
+    const home_server* server = this->find_usable_server(id, now);
     if (server == nullptr) return false;
     const auto* replica = server->replica(model);
     if (replica == nullptr) return false;
@@ -246,11 +252,11 @@
       std::count_if(target.servers.begin(), target.servers.end(), active));
 }
 
-std::string home::choose_to_wake(const home_target& target,
-                                 time_point now) const {
+std::string home::choose_server_to_load(const home_target& target,
+                                        time_point now) const {
   const std::string model = model_of_target(target.name);
-  wake_request request{
-      .model = model, .bytes = target.spec->bytes, .servers = {}};
+  load_placement_request request{
+      .model = model, .bytes = target.spec->bytes, .candidates = {}};
   for (const auto& id : target.servers) {
     const auto known = this->known_servers.find(id);
     if (known == this->known_servers.end()) continue;
@@ -261,16 +267,16 @@
     if (state == wire::replica_state::ready) continue;
     if (state == wire::replica_state::loading) continue;
     if (is_waking(target, id)) continue;
-    request.servers.push_back(
+    request.candidates.push_back(
         {.server = id,
          .state = state,
          .tier = server.tier(model),
          .free_bytes = server.report().free_bytes,
          .evictable_bytes = server.report().evictable_bytes,
          .running = server.report().running,
-         .usable = server.usable(now, this->limits.report_silence)});
+         .usable = server.is_usable(now, this->settings.report_timeout)});
   }
-  return choose_replica_to_wake(request).value_or(std::string{});
+  return choose_load_server(request).value_or(std::string{});
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/home_server.hpp
+++ b/src/decide/home_server.hpp
@@ -22,56 +22,57 @@
   ///
   /// \param own_in_flight This home's permits in use on the server.
   /// \return Whether the report was applied.
-  bool take(const wire::agent_report& report, std::uint32_t own_in_flight,
-            time_point now) {
+  bool apply_report(const wire::agent_report& report,
+                    std::uint32_t own_in_flight, time_point now) {
     const bool numbered = report.fence != 0;
-    if (numbered && report.fence < this->last.fence) return false;
+    if (numbered && report.fence < this->last_report.fence) return false;
     // An agent that restarted while the table is down has no fencing number
     // yet. The VM's monotonic clock continues across agent restarts, so it
     // shows which report is newer. Only after a reboot is the clock lower, and
     // then the fencing number is higher.
-    const bool later = report.now_ms >= this->last.now_ms;
-    if (!later && report.fence <= this->last.fence) return false;
-    this->last = report;
+    const bool later = report.now_ms >= this->last_report.now_ms;
+    if (!later && report.fence <= this->last_report.fence) return false;
+    this->last_report = report;
     this->received_at = now;
-    this->others = report.running - std::min(report.running, own_in_flight);
+    this->other_running =
+        report.running - std::min(report.running, own_in_flight);
     return true;
   }
 
   /// Returns how many requests of other homes ran there at the last report.
-  std::uint32_t others_running() const { return this->others; }
+  std::uint32_t running_for_others() const { return this->other_running; }
 
-  const wire::agent_report& report() const { return this->last; }
+  const wire::agent_report& report() const { return this->last_report; }
 
   /// Returns the agent's clock at `now` in ms, extrapolated from the last
   /// report.
   std::int64_t agent_clock(time_point now) const {
     const auto since =
         std::chrono::duration_cast<milliseconds>(now - this->received_at);
-    return this->last.now_ms + since.count();
+    return this->last_report.now_ms + since.count();
   }
 
   /// Returns whether it may get new requests: it reported recently, is not
   /// draining, its engine is up and it is not in a cool-down after a failure.
-  bool usable(time_point now, milliseconds silence) const {
-    if (this->leaving || this->last.draining) return false;
-    if (!this->last.backend_up) return false;
+  bool is_usable(time_point now, milliseconds silence) const {
+    if (this->draining || this->last_report.draining) return false;
+    if (!this->last_report.backend_up) return false;
     if (now < this->cooldown_until) return false;
     return now - this->received_at <= silence;
   }
 
   /// Returns whether it reported recently, even if it is draining or its engine
   /// is down.
-  bool heard(time_point now, milliseconds silence) const {
+  bool has_recent_report(time_point now, milliseconds silence) const {
     return now - this->received_at <= silence;
   }
 
-  void leave_alone_until(time_point when) { this->cooldown_until = when; }
-  void set_leaving() { this->leaving = true; }
+  void set_cooldown(time_point when) { this->cooldown_until = when; }
+  void set_draining() { this->draining = true; }
 
   /// Returns a model's entry in the last report; null if there is none.
   const wire::replica_report* replica(const std::string& model) const {
-    const auto& all = this->last.replicas;
+    const auto& all = this->last_report.replicas;
     const auto found = std::find_if(
         all.begin(), all.end(), [&](const auto& r) { return r.name == model; });
     return found == all.end() ? nullptr : &*found;
@@ -79,19 +80,19 @@
 
   /// Returns the tier that the server would load a model's checkpoint from.
   checkpoint_tier tier(const std::string& model) const {
-    const auto found = this->last.cached.find(model);
-    if (found == this->last.cached.end()) return checkpoint_tier::remote;
+    const auto found = this->last_report.cached.find(model);
+    if (found == this->last_report.cached.end()) return checkpoint_tier::remote;
     if (found->second == 0) return checkpoint_tier::memory;
     if (found->second == 1) return checkpoint_tier::disk;
     return checkpoint_tier::remote;
   }
 
  private:
-  wire::agent_report last;
+  wire::agent_report last_report;
   time_point received_at;
   time_point cooldown_until;
-  std::uint32_t others = 0;
-  bool leaving = false;
+  std::uint32_t other_running = 0;
+  bool draining = false;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/home_settings.hpp
+++ b/src/decide/home_settings.hpp
@@ -17,21 +17,21 @@
   /// How long after its issue a permit is accepted by the agent.
   milliseconds permit_allowance{2000};
   /// A server whose last report is older than this gets no new requests.
-  milliseconds report_silence{2500};
+  milliseconds report_timeout{2500};
   /// How long a server gets no new requests after a failed load order or call.
   milliseconds server_cooldown{3000};
   /// A load is ordered again if no report shows it this long after it was
   /// expected to be ready. Also the least time between two requests for the
   /// same number of grants.
-  milliseconds wake_confirm{3000};
+  milliseconds load_confirm_timeout{3000};
   /// Load times by checkpoint tier that are assumed until one was measured.
-  std::array<milliseconds, 3> load_time{milliseconds{3000}, milliseconds{20000},
-                                        milliseconds{60000}};
+  std::array<milliseconds, 3> initial_load_time{
+      milliseconds{3000}, milliseconds{20000}, milliseconds{60000}};
   /// Run time of a request that is assumed until one was measured.
-  milliseconds run_time{1000};
+  milliseconds initial_run_time{1000};
   /// Number of concurrent loads that the weight store serves at full speed, for
   /// all homes together.
-  std::uint32_t parallel_loads = 4;
+  std::uint32_t max_parallel_loads = 4;
   /// Expected wait beyond which a further replica is loaded.
   milliseconds scale_out_wait{5000};
   /// How many requests that no server can run are skipped in one pass over a
--- a/src/decide/home_target.hpp
+++ b/src/decide/home_target.hpp
@@ -11,7 +11,7 @@
 
 #include "decide/decision_note.hpp"
 #include "decide/model_spec.hpp"
-#include "decide/pending_wake.hpp"
+#include "decide/pending_load.hpp"
 #include "decide/running_mean.hpp"
 #include "decide/waiting_request.hpp"
 
@@ -20,7 +20,7 @@
 /// The state that a home keeps for one model or pool.
 struct home_target {
   explicit home_target(std::string target_name, milliseconds run_time_guess)
-      : name(std::move(target_name)), run_time(run_time_guess) {}
+      : name(std::move(target_name)), mean_run_time(run_time_guess) {}
 
   /// "model:<base>" or "pool:<name>".
   std::string name;
@@ -30,15 +30,15 @@
   /// Backend servers that hold a grant; for a pool, its members.
   std::vector<std::string> servers;
   /// When each of them was added to `servers`.
-  std::map<std::string, time_point> servers_since;
+  std::map<std::string, time_point> server_added_at;
   /// Whether `servers` was read from the table or the VM list at least once.
-  bool servers_known = false;
-  std::vector<pending_wake> wakes;
-  running_mean run_time;
-  time_point last_arrival;
+  bool has_server_list = false;
+  std::vector<pending_load> pending_loads;
+  running_mean mean_run_time;
+  time_point last_arrival_at;
   /// The number of grants last requested, so that a burst requests them once.
-  std::uint32_t wanted_grants = 0;
-  time_point wanted_at;
+  std::uint32_t requested_grants = 0;
+  time_point grants_requested_at;
   std::deque<decision_note> notes;
 };
 
--- a/src/decide/once_claim.hpp
+++ b/src/decide/idempotency_claim.hpp
@@ -1,12 +1,12 @@
-#ifndef BORAGEHILL_DECIDE_ONCE_CLAIM_HPP
-#define BORAGEHILL_DECIDE_ONCE_CLAIM_HPP
+#ifndef BORAGEHILL_DECIDE_IDEMPOTENCY_CLAIM_HPP
+#define BORAGEHILL_DECIDE_IDEMPOTENCY_CLAIM_HPP
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "decide/once_claim_row.hpp"
-#include "decide/once_claim_step.hpp"
+#include "decide/idempotency_record.hpp"
+#include "decide/idempotency_step.hpp"
 #include "wire/attempt_status.hpp"
 
 namespace boragehill::decide {
@@ -15,20 +15,20 @@
 ///
 /// \param row The idempotency record of its key; nothing if there is none.
 /// \param digest The digest of the received request.
-resend_step judge_resend(const std::optional<once_row>& row,
-                         std::string_view digest);
+record_step evaluate_record(const std::optional<idempotency_record>& row,
+                            std::string_view digest);
 
 /// Returns the next step after the agent that holds the claim was queried.
 ///
 /// \param status The response to `agent.tombstone` for the claim's attempt;
 ///   nothing if the agent is lost or did not respond.
-claim_step judge_agent_answer(std::optional<wire::attempt_status> status);
+claim_step evaluate_agent_status(std::optional<wire::attempt_status> status);
 
 /// Returns true if the record was claimed by the given attempt. Used to read
 /// back whether a write took effect whose response was lost.
-bool is_claimed_by(const std::optional<once_row>& row,
+bool is_claimed_by(const std::optional<idempotency_record>& row,
                    std::string_view attempt);
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ONCE_CLAIM_HPP
+#endif  // BORAGEHILL_DECIDE_IDEMPOTENCY_CLAIM_HPP
--- a/src/decide/once_claim_row.hpp
+++ b/src/decide/idempotency_record.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_ONCE_CLAIM_ROW_HPP
-#define BORAGEHILL_DECIDE_ONCE_CLAIM_ROW_HPP
+#ifndef BORAGEHILL_DECIDE_IDEMPOTENCY_RECORD_HPP
+#define BORAGEHILL_DECIDE_IDEMPOTENCY_RECORD_HPP
 
 #include <cstdint>
 #include <string>
@@ -9,11 +9,11 @@
 namespace boragehill::decide {
 
 /// Progress of a non-idempotent request. The values are stored.
-enum class once_state { claimed = 0, ended = 1 };
+enum class idempotency_state { claimed = 0, completed = 1 };
 
 /// The table row `once/<service>/<key>` of a non-idempotent request: the
 /// attempt that may run it and, once that completed, its response.
-struct once_row {
+struct idempotency_record {
   /// The digest of the first request received with the key.
   std::string digest;
   /// The only attempt that may run.
@@ -27,18 +27,18 @@
   std::uint64_t fence = 0;
   /// The permit's end on the agent's clock, in ms.
   std::int64_t permit_end_ms = 0;
-  once_state state = once_state::claimed;
+  idempotency_state state = idempotency_state::claimed;
   /// The HTTP status of the response; set once completed.
-  std::int32_t status = 0;
+  std::int32_t http_status = 0;
   std::string content_type;
   /// The response body, if it is small and valid UTF-8.
-  std::string answer;
+  std::string response_body;
   /// The name of the object that holds the response body otherwise.
-  std::string object;
+  std::string response_object;
   /// Wall-clock time of the write in ms, used only to remove old rows.
   std::int64_t written_at_ms = 0;
 
-  bool operator==(const once_row&) const = default;
+  bool operator==(const idempotency_record&) const = default;
 
   /// Calls `visit(name, member)` for each member, in a fixed order.
   template <class Self, class Visit>
@@ -51,14 +51,14 @@
     visit("fence", self.fence);
     visit("permit_end_ms", self.permit_end_ms);
     visit("state", self.state);
-    visit("status", self.status);
+    visit("status", self.http_status);
     visit("content_type", self.content_type);
-    visit("answer", self.answer);
-    visit("object", self.object);
+    visit("answer", self.response_body);
+    visit("object", self.response_object);
     visit("written_at_ms", self.written_at_ms);
   }
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ONCE_CLAIM_ROW_HPP
+#endif  // BORAGEHILL_DECIDE_IDEMPOTENCY_RECORD_HPP
--- a/src/decide/issued_permit.hpp
+++ b/src/decide/issued_permit.hpp
@@ -10,11 +10,11 @@
 
 /// A permit whose attempt has not been reported as ended.
 struct issued_permit {
-  wire::permit_request ask;
-  wire::permit_answer answer;
+  wire::permit_request request;
+  wire::permit_answer response;
   time_point issued_at;
   /// When its slot counts as free even if the end was not reported.
-  time_point gone_at;
+  time_point expires_at;
 
   bool operator==(const issued_permit&) const = default;
 };
--- a/src/decide/keep_warm.cpp
+++ b/src/decide/keep_warm.cpp
@@ -7,29 +7,29 @@
 
 namespace {
 
-constexpr std::uint64_t enough_gaps = 8;
-constexpr milliseconds longest_keep_warm = std::chrono::hours(24);
+constexpr std::uint64_t min_gap_samples = 8;
+constexpr milliseconds keep_warm_limit = std::chrono::hours(24);
 
-struct time_chooser {
-  milliseconds load;
+struct keep_warm_visitor {
+  milliseconds load_time;
   const gap_histogram& gaps;
 
   milliseconds operator()(const break_even_rule& rule) const {
-    if (rule.idle_weight <= 0) return longest_keep_warm;
+    if (rule.idle_weight <= 0) return keep_warm_limit;
     const double ratio =
         std::max(rule.cold_start_weight, 0.0) / rule.idle_weight;
-    const double time = ratio * static_cast<double>(this->load.count());
-    const auto limit = static_cast<double>(longest_keep_warm.count());
+    const double time = ratio * static_cast<double>(this->load_time.count());
+    const auto limit = static_cast<double>(keep_warm_limit.count());
     return milliseconds(std::llround(std::min(time, limit)));
   }
 
   milliseconds operator()(const fixed_timer_rule& rule) const {
-    return rule.time;
+    return rule.keep_warm;
   }
 
   milliseconds operator()(const histogram_rule& rule) const {
-    if (this->gaps.count() < enough_gaps) return rule.most;
-    return std::min(this->gaps.quantile(rule.share), rule.most);
+    if (this->gaps.count() < min_gap_samples) return rule.max_keep_warm;
+    return std::min(this->gaps.quantile(rule.quantile), rule.max_keep_warm);
   }
 };
 
@@ -37,10 +37,10 @@
 
 void gap_histogram::add(milliseconds gap) {
   std::size_t place = 0;
-  while (place + 1 < classes && (std::int64_t{1} << place) < gap.count()) {
+  while (place + 1 < bucket_count && (std::int64_t{1} << place) < gap.count()) {
     ++place;
   }
-  ++this->counts.at(place);
+  ++this->bucket_counts.at(place);
   ++this->total;
 }
 
@@ -48,8 +48,8 @@
   const double wanted = share * static_cast<double>(this->total);
   std::uint64_t seen = 0;
   std::size_t place = 0;
-  for (; place + 1 < classes; ++place) {
-    seen += this->counts.at(place);
+  for (; place + 1 < bucket_count; ++place) {
+    seen += this->bucket_counts.at(place);
     if (static_cast<double>(seen) >= wanted) break;
   }
   return milliseconds(std::int64_t{1} << place);
@@ -57,11 +57,11 @@
 
 milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load,
                             const gap_histogram& gaps) {
-  return std::visit(time_chooser{load, gaps}, rule);
+  return std::visit(keep_warm_visitor{load, gaps}, rule);
 }
 
-bool past_keep_warm(milliseconds keep_warm, time_point last_used,
-                    time_point now) {
+bool is_past_keep_warm(milliseconds keep_warm, time_point last_used,
+                       time_point now) {
   if (keep_warm < milliseconds(0)) return false;
   return now - last_used >= keep_warm;
 }
--- a/src/decide/keep_warm.hpp
+++ b/src/decide/keep_warm.hpp
@@ -22,16 +22,16 @@
 
 /// Keeps every model loaded for the same time.
 struct fixed_timer_rule {
-  milliseconds time{0};
+  milliseconds keep_warm{0};
 
   bool operator==(const fixed_timer_rule&) const = default;
 };
 
 /// Keeps a model loaded for a quantile of the gaps between its requests.
 struct histogram_rule {
-  double share = 0.9;
+  double quantile = 0.9;
   /// Upper limit; also the time used until enough gaps were counted.
-  milliseconds most{0};
+  milliseconds max_keep_warm{0};
 
   bool operator==(const histogram_rule&) const = default;
 };
@@ -53,8 +53,8 @@
   milliseconds quantile(double share) const;
 
  private:
-  static constexpr std::size_t classes = 32;
-  std::array<std::uint32_t, classes> counts{};
+  static constexpr std::size_t bucket_count = 32;
+  std::array<std::uint32_t, bucket_count> bucket_counts{};
   std::uint64_t total = 0;
 };
 
@@ -71,8 +71,8 @@
 /// \param keep_warm Its keep-warm time; negative: it never expires.
 /// \param last_used When its last request ended.
 /// \param now The current time.
-bool past_keep_warm(milliseconds keep_warm, time_point last_used,
-                    time_point now);
+bool is_past_keep_warm(milliseconds keep_warm, time_point last_used,
+                       time_point now);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/residency_move.hpp
+++ b/src/decide/load_decision.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_RESIDENCY_MOVE_HPP
-#define BORAGEHILL_DECIDE_RESIDENCY_MOVE_HPP
+#ifndef BORAGEHILL_DECIDE_LOAD_DECISION_HPP
+#define BORAGEHILL_DECIDE_LOAD_DECISION_HPP
 
 #include <string>
 #include <vector>
@@ -9,26 +9,26 @@
 namespace boragehill::decide {
 
 /// A load that the planner decided, with the figures behind the decision.
-struct residency_move {
+struct load_decision {
   std::string server;
   std::string model;
   /// "wake" (requests wait for the model), "relief" (scale-out), "stock"
   /// (preload) or "ahead" (prefetch from the store).
-  std::string why;
+  std::string reason;
   /// Models that are evicted for it.
-  std::vector<std::string> victims;
+  std::vector<std::string> evicted_models;
   milliseconds load_time{0};
   bool from_store = false;
   /// Waiting time over all requests, in seconds.
-  double cost = 0;
+  double cost_s = 0;
   /// Requests that wait for the model, and requests that are at workers.
   int waiting = 0;
-  int flying = 0;
+  int in_flight = 0;
   int replicas = 0;
 
-  bool operator==(const residency_move&) const = default;
+  bool operator==(const load_decision&) const = default;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_RESIDENCY_MOVE_HPP
+#endif  // BORAGEHILL_DECIDE_LOAD_DECISION_HPP
--- a/src/decide/placement_wake.hpp
+++ b/src/decide/load_placement_request.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_PLACEMENT_WAKE_HPP
-#define BORAGEHILL_DECIDE_PLACEMENT_WAKE_HPP
+#ifndef BORAGEHILL_DECIDE_LOAD_PLACEMENT_REQUEST_HPP
+#define BORAGEHILL_DECIDE_LOAD_PLACEMENT_REQUEST_HPP
 
 #include <cstdint>
 #include <string>
@@ -13,7 +13,7 @@
 namespace boragehill::decide {
 
 /// A granted server as a candidate for loading one model.
-struct wake_view {
+struct load_candidate {
   std::string server;
   wire::replica_state state = wire::replica_state::cold;
   checkpoint_tier tier = checkpoint_tier::remote;
@@ -27,18 +27,18 @@
   /// False if it is draining or suspected, or if its engine is down.
   bool usable = true;
 
-  bool operator==(const wake_view&) const = default;
+  bool operator==(const load_candidate&) const = default;
 };
 
 /// Input of `choose_load_server`: a model and its granted servers.
-struct wake_request {
+struct load_placement_request {
   std::string model;
   std::uint64_t bytes = 0;
-  std::vector<wake_view> servers;
+  std::vector<load_candidate> candidates;
 
-  bool operator==(const wake_request&) const = default;
+  bool operator==(const load_placement_request&) const = default;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_PLACEMENT_WAKE_HPP
+#endif  // BORAGEHILL_DECIDE_LOAD_PLACEMENT_REQUEST_HPP
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -24,7 +24,7 @@
 
   /// Applies a successful read of the VM list. An empty list is ignored as a
   /// fault of the platform. Failed reads are not passed to this class.
-  void on_list(const std::vector<vm_info>& vms, time_point now);
+  void on_vm_list(const std::vector<vm_info>& vms, time_point now);
 
   /// Handles a heartbeat or load report from a process.
   void on_heartbeat(const vm_info& vm, time_point now);
@@ -34,10 +34,10 @@
   void on_call_failed(const std::string& id, time_point now);
 
   /// Handles a call to a process that succeeded; ends a suspicion.
-  void on_call_answered(const std::string& id);
+  void on_call_succeeded(const std::string& id);
 
   /// Marks a process that reported to be draining. The mark is permanent.
-  void on_leaving(const std::string& id);
+  void on_draining(const std::string& id);
 
   /// Returns the routers of a region that may act as homes, ordered by id.
   ///
@@ -52,11 +52,11 @@
   /// the successful list reads and sent no heartbeat. The list lags, so for a
   /// VM that was never listed the delay starts with the first call of this
   /// function and the next list read.
-  bool is_gone(const std::string& id, time_point now);
+  bool is_removed(const std::string& id, time_point now);
 
   bool is_suspected(const std::string& id, time_point now) const;
 
-  bool is_leaving(const std::string& id) const;
+  bool is_draining(const std::string& id) const;
 
   /// Returns the VM as listed or, if it is not listed, as in its heartbeat;
   /// nothing if neither was received.
@@ -66,19 +66,19 @@
   struct member {
     vm_info vm;
     bool listed = false;
-    std::optional<time_point> heard_at;
+    std::optional<time_point> last_heartbeat_at;
     /// The first of the consecutive list reads that do not contain it.
-    std::optional<time_point> missing_since;
+    std::optional<time_point> unlisted_since;
   };
 
-  bool takes_work(const member& known, time_point now) const;
-  void forget_old(time_point now);
+  bool accepts_work(const member& known, time_point now) const;
+  void drop_expired(time_point now);
 
   membership_settings settings;
   std::map<std::string, member> members;
   std::map<std::string, time_point> suspected_until;
-  std::set<std::string> leaving;
-  std::optional<time_point> last_list;
+  std::set<std::string> draining;
+  std::optional<time_point> last_list_at;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/membership_settings.hpp
+++ b/src/decide/membership_settings.hpp
@@ -8,12 +8,12 @@
 /// Settings of `membership`.
 struct membership_settings {
   /// How long an unlisted process counts as live after a heartbeat.
-  milliseconds heartbeat_keep{5000};
+  milliseconds heartbeat_timeout{5000};
   /// How long a process is suspected after a failed call.
   milliseconds suspect_for{5000};
   /// How long a VM must be absent from the list, and send no heartbeat, before
   /// it counts as removed. Must be longer than the list lags.
-  milliseconds gone_after{30000};
+  milliseconds removal_delay{30000};
 
   bool operator==(const membership_settings&) const = default;
 };
--- a/src/decide/memory_ledger.cpp
+++ b/src/decide/memory_ledger.cpp
@@ -6,22 +6,23 @@
     : capacity_bytes(capacity_bytes) {}
 
 bool memory_ledger::reserve(const std::string& name, std::uint64_t bytes) {
-  if (this->holds(name)) return false;
+  if (this->has_reservation(name)) return false;
   if (bytes > this->free()) return false;
-  this->adopt(name, bytes);
+  this->set_reservation(name, bytes);
   return true;
 }
 
 void memory_ledger::release(const std::string& name) {
-  const auto found = this->by_name.find(name);
-  if (found == this->by_name.end()) return;
+  const auto found = this->reservations.find(name);
+  if (found == this->reservations.end()) return;
   this->reserved_bytes -= found->second;
-  this->by_name.erase(found);
+  this->reservations.erase(found);
 }
 
-void memory_ledger::adopt(const std::string& name, std::uint64_t bytes) {
+void memory_ledger::set_reservation(const std::string& name,
+                                    std::uint64_t bytes) {
   this->release(name);
-  this->by_name.emplace(name, bytes);
+  this->reservations.emplace(name, bytes);
   this->reserved_bytes += bytes;
 }
 
@@ -31,12 +32,12 @@
 }
 
 std::uint64_t memory_ledger::bytes_of(const std::string& name) const {
-  const auto found = this->by_name.find(name);
-  return found == this->by_name.end() ? 0 : found->second;
+  const auto found = this->reservations.find(name);
+  return found == this->reservations.end() ? 0 : found->second;
 }
 
-bool memory_ledger::holds(const std::string& name) const {
-  return this->by_name.contains(name);
+bool memory_ledger::has_reservation(const std::string& name) const {
+  return this->reservations.contains(name);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/memory_ledger.hpp
+++ b/src/decide/memory_ledger.hpp
@@ -29,7 +29,7 @@
 
   /// Sets a name's reservation to what the engine reports, even beyond the
   /// capacity.
-  void adopt(const std::string& name, std::uint64_t bytes);
+  void set_reservation(const std::string& name, std::uint64_t bytes);
 
   std::uint64_t capacity() const { return this->capacity_bytes; }
   /// Returns the sum of all reservations in bytes.
@@ -39,16 +39,16 @@
   /// Returns the bytes reserved for a name, 0 without a reservation.
   std::uint64_t bytes_of(const std::string& name) const;
   /// Returns whether a name has a reservation.
-  bool holds(const std::string& name) const;
+  bool has_reservation(const std::string& name) const;
   /// Returns the reservations by name, in bytes.
   const std::map<std::string, std::uint64_t>& entries() const {
-    return this->by_name;
+    return this->reservations;
   }
 
  private:
   std::uint64_t capacity_bytes;
   std::uint64_t reserved_bytes = 0;
-  std::map<std::string, std::uint64_t> by_name;
+  std::map<std::string, std::uint64_t> reservations;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/model_demand.hpp
+++ b/src/decide/model_demand.hpp
@@ -18,10 +18,10 @@
   /// Requests that wait now because the model is not loaded on any worker.
   int waiting = 0;
   /// How long the oldest of them has waited.
-  milliseconds oldest{0};
+  milliseconds oldest_wait{0};
   /// Sum of the weights of the waiting requests; a request of the highest
   /// priority has weight 1.
-  double worth = 0;
+  double weight = 0;
 
   bool operator==(const model_demand&) const = default;
 };
--- a/src/decide/model_spec.hpp
+++ b/src/decide/model_spec.hpp
@@ -16,7 +16,7 @@
   /// Upper limit of the grants when demand adds more.
   std::uint32_t max_replicas = 1;
   /// Replicas kept loaded without requests.
-  std::uint32_t warm = 0;
+  std::uint32_t warm_replicas = 0;
   double cold_start_weight = 1.0;
   double idle_weight = 1.0;
 
--- a/src/decide/next_order.cpp
+++ b/src/decide/next_order.cpp
@@ -26,8 +26,8 @@
   return count;
 }
 
-std::optional<target_order> unload_something(const fleet::worker_report& report,
-                                             const residency_target& target) {
+std::optional<target_order> unload_unwanted_model(
+    const fleet::worker_report& report, const residency_target& target) {
   for (const auto& each : report.models) {
     if (holds(target.models, each.name)) continue;
     return target_order{.what = kind::unload, .model = each.name};
@@ -35,9 +35,9 @@
   return std::nullopt;
 }
 
-std::optional<target_order> next_model(const fleet::worker_report& report,
-                                       const residency_target& target,
-                                       const fleet::service& service) {
+std::optional<target_order> next_model_order(const fleet::worker_report& report,
+                                             const residency_target& target,
+                                             const fleet::service& service) {
   for (const auto& name : target.models) {
     if (report.find(name)) continue;
     const auto* model = service.find_model(name);
@@ -45,13 +45,13 @@
     if (model->weights_mb <= free_memory_mb(report, service)) {
       return target_order{.what = kind::load, .model = name};
     }
-    return unload_something(report, target);
+    return unload_unwanted_model(report, target);
   }
   return std::nullopt;
 }
 
-std::optional<target_order> drop_adapter(const fleet::worker_report& report,
-                                         const residency_target& target) {
+std::optional<target_order> unload_unwanted_adapter(
+    const fleet::worker_report& report, const residency_target& target) {
   for (const auto& each : report.models) {
     for (const auto& adapter : each.adapters) {
       if (holds(target.adapters, each.name + '/' + adapter)) continue;
@@ -69,9 +69,9 @@
   return !holds(resident->adapters, adapter) && !holds(report.coming, full);
 }
 
-std::optional<target_order> next_adapter(const fleet::worker_report& report,
-                                         const residency_target& target,
-                                         const fleet::service& service) {
+std::optional<target_order> next_adapter_order(
+    const fleet::worker_report& report, const residency_target& target,
+    const fleet::service& service) {
   // A worker loads up to this many adapters concurrently.
   constexpr std::size_t most_coming = 4;
   for (const auto& full : target.adapters) {
@@ -82,7 +82,7 @@
     const auto places = static_cast<std::size_t>(service.adapter_places);
     const bool fits = adapters_held(report) < places &&
                       model->adapter_mb <= free_memory_mb(report, service);
-    if (!fits) return drop_adapter(report, target);
+    if (!fits) return unload_unwanted_adapter(report, target);
     if (report.coming.size() >= most_coming) return std::nullopt;
     return target_order{.what = kind::load, .model = name, .adapter = adapter};
   }
@@ -116,8 +116,9 @@
   // model that an earlier incarnation of the agent ordered is unknown.
   if (report.busy || !loading.empty()) return std::nullopt;
   // Adapters first: they load in milliseconds.
-  if (auto adapter = next_adapter(report, target, service)) return adapter;
-  return next_model(report, target, service);
+  if (auto adapter = next_adapter_order(report, target, service))
+    return adapter;
+  return next_model_order(report, target, service);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/placement_choice.cpp
+++ b/src/decide/placement_choice.cpp
@@ -18,29 +18,31 @@
   std::map<std::pair<std::string, std::string>, std::uint32_t> domains;
   std::map<std::string, std::uint32_t> regions;
 
-  void add(const server_view& server) {
+  void add(const placement_server& server) {
     this->domains[{server.region, server.failure_domain}] += 1;
     this->regions[server.region] += 1;
   }
 };
 
 bool holds_grant(const placement_request& request, const std::string& id) {
-  return std::ranges::find(request.current, id) != request.current.end();
+  return std::ranges::find(request.granted_servers, id) !=
+         request.granted_servers.end();
 }
 
-bool takes_grants(const placement_request& request, const server_view& server) {
+bool takes_grants(const placement_request& request,
+                  const placement_server& server) {
   if (server.draining || server.suspected) return false;
   if (!request.pool.empty() && server.pool != request.pool) return false;
   return server.capacity_bytes >= request.bytes && server.capacity_bytes > 0;
 }
 
-double granted_share(const server_view& server) {
+double granted_share(const placement_server& server) {
   return static_cast<double>(server.granted_bytes) /
          static_cast<double>(server.capacity_bytes);
 }
 
 /// Returns the rank of a candidate for a new grant; the lowest is chosen.
-auto rank_of(const server_view& server, const spread& standing,
+auto rank_of(const placement_server& server, const spread& standing,
              const std::string& model) {
   const auto domain =
       standing.domains.find({server.region, server.failure_domain});
@@ -57,12 +59,16 @@
 
 std::uint32_t grants_to_add(const placement_request& request,
                             std::uint32_t usable) {
-  const auto standing = static_cast<std::uint32_t>(request.current.size());
-  if (usable >= request.wanted || standing >= request.most) return 0;
-  return std::min(request.wanted - usable, request.most - standing);
+  const auto standing =
+      static_cast<std::uint32_t>(request.granted_servers.size());
+  if (usable >= request.wanted_grants || standing >= request.max_grants)
+    return 0;
+  return std::min(request.wanted_grants - usable,
+                  request.max_grants - standing);
 }
 
-auto wake_rank_of(const wake_view& view, const wake_request& request) {
+auto wake_rank_of(const load_candidate& view,
+                  const load_placement_request& request) {
   const bool fits_free = view.free_bytes >= request.bytes;
   const bool has_room = view.free_bytes + view.evictable_bytes >= request.bytes;
   const std::uint64_t last = ~rendezvous_weight(view.server, request.model);
@@ -82,11 +88,12 @@
 
 }  // namespace
 
-std::vector<std::string> choose_servers(const placement_request& request) {
-  std::vector<const server_view*> candidates;
+std::vector<std::string> choose_grant_servers(
+    const placement_request& request) {
+  std::vector<const placement_server*> candidates;
   spread standing;
   std::uint32_t usable = 0;
-  for (const server_view& server : request.servers) {
+  for (const placement_server& server : request.servers) {
     const bool granted = holds_grant(request, server.id);
     if (granted) standing.add(server);
     if (!takes_grants(request, server)) continue;
@@ -100,7 +107,7 @@
   const std::uint32_t count = grants_to_add(request, usable);
   while (chosen.size() < count && !candidates.empty()) {
     const auto best = std::ranges::min_element(
-        candidates, std::less{}, [&](const server_view* server) {
+        candidates, std::less{}, [&](const placement_server* server) {
           return rank_of(*server, standing, request.model);
         });
     standing.add(**best);
@@ -110,9 +117,10 @@
   return chosen;
 }
 
-std::optional<std::string> choose_replica_to_wake(const wake_request& request) {
-  const wake_view* best = nullptr;
-  for (const wake_view& view : request.servers) {
+std::optional<std::string> choose_load_server(
+    const load_placement_request& request) {
+  const load_candidate* best = nullptr;
+  for (const load_candidate& view : request.candidates) {
     if (!view.usable) continue;
     const bool better = best == nullptr || wake_rank_of(view, request) <
                                                wake_rank_of(*best, request);
--- a/src/decide/placement_choice.hpp
+++ b/src/decide/placement_choice.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "decide/load_placement_request.hpp"
 #include "decide/placement_request.hpp"
-#include "decide/placement_wake.hpp"
 
 namespace boragehill::decide {
 
@@ -19,7 +19,7 @@
 /// unknown servers count towards `max_grants` but not towards `wanted_grants`.
 ///
 /// \return Only additions; fewer than wanted if there are too few servers.
-std::vector<std::string> choose_servers(const placement_request& request);
+std::vector<std::string> choose_grant_servers(const placement_request& request);
 
 /// Returns the granted server that is expected to have the model ready first.
 ///
@@ -29,7 +29,8 @@
 /// needs an eviction.
 ///
 /// \return Nothing if no usable server holds a grant.
-std::optional<std::string> choose_replica_to_wake(const wake_request& request);
+std::optional<std::string> choose_load_server(
+    const load_placement_request& request);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/placement_request.hpp
+++ b/src/decide/placement_request.hpp
@@ -11,7 +11,7 @@
 namespace boragehill::decide {
 
 /// A backend server as input to the placement of one model.
-struct server_view {
+struct placement_server {
   std::string id;
   std::string failure_domain;
   std::string region;
@@ -25,7 +25,7 @@
   /// The tier that it would load the model's checkpoint from.
   checkpoint_tier tier = checkpoint_tier::remote;
 
-  bool operator==(const server_view&) const = default;
+  bool operator==(const placement_server&) const = default;
 };
 
 /// Input of `choose_grant_servers`: one model, its grants and the servers.
@@ -33,15 +33,15 @@
   std::string model;
   std::uint64_t bytes = 0;
   /// Wanted number of grants on servers that accept new requests.
-  std::uint32_t wanted = 1;
+  std::uint32_t wanted_grants = 1;
   /// Maximum number of grants, including those on draining or suspected
   /// servers.
-  std::uint32_t most = std::numeric_limits<std::uint32_t>::max();
+  std::uint32_t max_grants = std::numeric_limits<std::uint32_t>::max();
   /// Restricts the choice to servers of this pool; empty for any.
   std::string pool;
   /// Ids of the servers that hold a grant.
-  std::vector<std::string> current;
-  std::vector<server_view> servers;
+  std::vector<std::string> granted_servers;
+  std::vector<placement_server> servers;
 
   bool operator==(const placement_request&) const = default;
 };
--- a/src/decide/planned_worker.hpp
+++ b/src/decide/planned_worker.hpp
@@ -20,55 +20,55 @@
 
 /// A model worker as the planner sees it.
 struct planned_worker {
-  fleet::server entry;
+  fleet::server list_entry;
   /// When the worker first appeared in the server list.
-  time_point listed;
+  time_point first_listed;
   /// The last report of its agent, and when it was received.
   std::optional<fleet::worker_report> report;
-  time_point reported;
+  time_point reported_at;
   residency_target target;
-  std::optional<planned_load> pending;
+  std::optional<planned_load> pending_load;
   /// When a router last reported the worker as unresponsive.
-  std::optional<time_point> told_silent;
+  std::optional<time_point> reported_unresponsive_at;
   /// Models with a local copy; true if the copy is in main memory, false if it
   /// is on disk.
-  std::unordered_map<std::string, bool> copies;
+  std::unordered_map<std::string, bool> local_copies;
   /// True if the routers with requests in flight there receive nothing from it.
   /// This and the following members are recomputed in each step, except
   /// `resident_since`.
-  bool silent = false;
+  bool is_unresponsive = false;
   /// Free accelerator memory in megabytes.
-  double room_mb = 0;
+  double free_memory_mb = 0;
   /// Models that may be evicted, with their eviction cost in seconds, in
   /// ascending order of cost.
-  std::vector<std::pair<double, std::string>> droppable;
+  std::vector<std::pair<double, std::string>> eviction_candidates;
   /// When each resident model was first reported.
-  std::map<std::string, time_point> since;
+  std::map<std::string, time_point> resident_since;
   /// In-flight requests of all routers, by model and by "model/adapter".
-  std::map<std::string, int> flights;
-  int requests = 0;
+  std::map<std::string, int> in_flight;
+  int total_in_flight = 0;
 
   bool operator==(const planned_worker&) const = default;
 
   /// \return True if the server list or its own report says that it is
   ///     draining.
-  bool leaves() const {
-    return this->entry.draining || (this->report && this->report->leaving);
+  bool is_draining() const {
+    return this->list_entry.draining || (this->report && this->report->leaving);
   }
 
   /// \return True if the model is loaded and is in the target.
   bool serves(const std::string& model) const;
 
   /// \return True if the model is in the target, loaded or not.
-  bool meant_for(const std::string& model) const;
+  bool has_target_model(const std::string& model) const;
 
   /// \return Time to load the model here when nothing else is loading: from
   ///     main memory, from disk or from the store.
   milliseconds load_time(const fleet::model& model) const;
 
   /// \return True if a load from the store was planned and has not finished.
-  bool loads_from_store() const {
-    return this->pending && this->pending->from_store;
+  bool is_loading_from_store() const {
+    return this->pending_load && this->pending_load->from_store;
   }
 };
 
--- a/src/decide/planner_loss.hpp
+++ b/src/decide/planner_loss_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_PLANNER_LOSS_HPP
-#define BORAGEHILL_DECIDE_PLANNER_LOSS_HPP
+#ifndef BORAGEHILL_DECIDE_PLANNER_LOSS_DETECTOR_HPP
+#define BORAGEHILL_DECIDE_PLANNER_LOSS_DETECTOR_HPP
 
 #include <cstdint>
 
@@ -13,26 +13,26 @@
 /// connection attempt is short, and the row is read again afterwards. One lost
 /// packet causes the same failure and must not replace a healthy planner, so
 /// the planner is lost at the second failure.
-class planner_loss {
+class planner_loss_detector {
  public:
   /// The connection to the planner of a term ended or could not be made.
   /// \param reached True if the connection had been established.
   /// \return True if that planner is to be replaced.
   bool on_link_ended(std::int64_t term, bool reached) {
-    const bool again = this->unreached == term;
-    if (!reached) this->unreached = term;
+    const bool again = this->unreached_term == term;
+    if (!reached) this->unreached_term = term;
     return reached || again;
   }
 
   /// The connection to a planner was established.
-  void on_reached() { this->unreached = none; }
+  void on_connected() { this->unreached_term = no_term; }
 
  private:
-  static constexpr std::int64_t none = -1;
+  static constexpr std::int64_t no_term = -1;
   /// The term whose planner could not be reached last.
-  std::int64_t unreached = none;
+  std::int64_t unreached_term = no_term;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_PLANNER_LOSS_HPP
+#endif  // BORAGEHILL_DECIDE_PLANNER_LOSS_DETECTOR_HPP
--- a/src/decide/residency_support.hpp
+++ b/src/decide/planner_name_list.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_RESIDENCY_SUPPORT_HPP
-#define BORAGEHILL_DECIDE_RESIDENCY_SUPPORT_HPP
+#ifndef BORAGEHILL_DECIDE_PLANNER_NAME_LIST_HPP
+#define BORAGEHILL_DECIDE_PLANNER_NAME_LIST_HPP
 
 #include <algorithm>
 #include <string>
@@ -10,8 +10,8 @@
 namespace boragehill::decide::detail {
 
 /// Returns whether a list contains a name.
-inline bool holds(const std::vector<std::string>& names,
-                  const std::string& name) {
+inline bool contains_name(const std::vector<std::string>& names,
+                          const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
@@ -23,4 +23,4 @@
 
 }  // namespace boragehill::decide::detail
 
-#endif  // BORAGEHILL_DECIDE_RESIDENCY_SUPPORT_HPP
+#endif  // BORAGEHILL_DECIDE_PLANNER_NAME_LIST_HPP
--- a/src/decide/unread_limits.hpp
+++ b/src/decide/prompt_backlog_limits.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_UNREAD_LIMITS_HPP
-#define BORAGEHILL_DECIDE_UNREAD_LIMITS_HPP
+#ifndef BORAGEHILL_DECIDE_PROMPT_BACKLOG_LIMITS_HPP
+#define BORAGEHILL_DECIDE_PROMPT_BACKLOG_LIMITS_HPP
 
 #include <algorithm>
 
@@ -13,27 +13,27 @@
 /// since it may run: it can't move to a server that has capacity by then, can't
 /// be rejected as not run, and is lost if the server stalls. A request that
 /// waits in the router can do all of these.
-struct unread_limits {
+struct prompt_backlog_limits {
   /// Limit for all routers together. A worker processes this many tokens in
   /// half a second, so it is never idle while requests wait in routers.
-  int at_server = 16000;
+  int server_tokens = 16000;
   /// Limit for one router and a request whose latency objective has passed:
   /// four routers then keep a server busy with prompts for 0.2 s.
-  int late = 2000;
+  int late_request_tokens = 2000;
 
-  bool operator==(const unread_limits&) const = default;
+  bool operator==(const prompt_backlog_limits&) const = default;
 
   /// \param is_late The request's latency objective has passed.
   /// \param routers Number of routers that send to the server; less than 1
   /// counts
   ///     as 1.
   /// \return Maximum backlog of one router at the server, in prompt tokens.
-  int of_router(bool is_late, int routers) const {
-    const int share = this->at_server / std::max(routers, 1);
-    return is_late ? std::min(this->late, share) : share;
+  int router_limit(bool is_late, int routers) const {
+    const int share = this->server_tokens / std::max(routers, 1);
+    return is_late ? std::min(this->late_request_tokens, share) : share;
   }
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_UNREAD_LIMITS_HPP
+#endif  // BORAGEHILL_DECIDE_PROMPT_BACKLOG_LIMITS_HPP
--- a/src/decide/rendezvous.cpp
+++ b/src/decide/rendezvous.cpp
@@ -14,7 +14,7 @@
   return XXH64(target.data(), target.size(), seed);
 }
 
-std::vector<std::string> home_order(std::string_view target,
+std::vector<std::string> rank_homes(std::string_view target,
                                     std::vector<std::string> routers,
                                     std::size_t count) {
   std::vector<std::pair<std::uint64_t, std::string>> weighted;
--- a/src/decide/rendezvous.hpp
+++ b/src/decide/rendezvous.hpp
@@ -23,7 +23,7 @@
 /// \param routers The ids of the live routers, in any order.
 /// \param count Maximum number of routers to return.
 /// \return At most `count` ids; independent of the order of `routers`.
-std::vector<std::string> home_order(std::string_view target,
+std::vector<std::string> rank_homes(std::string_view target,
                                     std::vector<std::string> routers,
                                     std::size_t count);
 
--- a/src/decide/view_filter.hpp
+++ b/src/decide/request_count_filter.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_VIEW_FILTER_HPP
-#define BORAGEHILL_DECIDE_VIEW_FILTER_HPP
+#ifndef BORAGEHILL_DECIDE_REQUEST_COUNT_FILTER_HPP
+#define BORAGEHILL_DECIDE_REQUEST_COUNT_FILTER_HPP
 
 namespace boragehill::decide {
 
@@ -11,7 +11,7 @@
 /// updates then arrived seconds late, and no model was loaded in time.
 /// \param told The number that was reported last.
 /// \param now The current number.
-inline bool worth_telling(int told, int now) {
+inline bool is_significant_change(int told, int now) {
   // Smaller changes don't affect the choice between workers with dozens of
   // slots.
   constexpr int least = 3;
@@ -22,4 +22,4 @@
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_VIEW_FILTER_HPP
+#endif  // BORAGEHILL_DECIDE_REQUEST_COUNT_FILTER_HPP
--- a/src/decide/request_flow.cpp
+++ b/src/decide/request_flow.cpp
@@ -26,18 +26,19 @@
       limits(flow_bounds),
       take_retry(std::move(budget)),
       random_bits(std::move(random)),
-      current{this->request.incarnation, this->request.sequence, 0} {}
+      current_attempt{this->request.incarnation, this->request.sequence, 0} {}
 
 flow_step request_flow::begin(time_point now) {
-  return this->next_attempt(now);
+  return this->start_next_attempt(now);
 }
 
 flow_step request_flow::on_permit(const wire::permit_answer& answer,
                                   time_point now) {
-  if (now >= this->request.deadline) return this->out_of_time(now);
+  if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
   switch (answer.state) {
     case wire::permit_state::queued:
-      return await_permit{this->current, this->rank, this->request.deadline};
+      return await_permit{this->current_attempt, this->home_rank,
+                          this->request.deadline};
     case wire::permit_state::not_home:
       return this->on_home_lost(now);
     case wire::permit_state::refused:
@@ -48,28 +49,30 @@
   }
   this->permit = answer;
   this->homes_lost = 0;
-  if (this->request.keyed) return write_claim{this->current, this->permit};
-  return dispatch{this->current, this->permit};
+  if (this->request.has_idempotency_key)
+    return write_claim{this->current_attempt, this->permit};
+  return dispatch{this->current_attempt, this->permit};
 }
 
 flow_step request_flow::on_home_lost(time_point now) {
-  if (now >= this->request.deadline) return this->out_of_time(now);
+  if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
   ++this->homes_lost;
   if (this->homes_lost >= this->limits.max_homes) {
     return this->refuse(result_code::home_unreachable,
                         this->limits.default_retry_after,
                         "no home of " + this->request.target + " answers");
   }
-  ++this->rank;
+  ++this->home_rank;
   // A new attempt number, so that a permit from the lost home can't be used
   // in addition to the next home's and run the request twice.
-  ++this->current.number;
-  return this->ask(now);
+  ++this->current_attempt.number;
+  return this->make_permit_request(now);
 }
 
-flow_step request_flow::on_claim(result_code code, time_point now) {
-  if (now >= this->request.deadline) return this->out_of_time(now);
-  if (code == result_code::ok) return dispatch{this->current, this->permit};
+flow_step request_flow::on_claim_written(result_code code, time_point now) {
+  if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
+  if (code == result_code::ok)
+    return dispatch{this->current_attempt, this->permit};
   // Without a claim nothing may be dispatched: another router that receives a
   // retry with the same key would not see this run. On a write conflict another
   // router holds the claim, and the request may run there.
@@ -81,73 +84,74 @@
 flow_step request_flow::on_attempt(const attempt_result& result,
                                    time_point now) {
   switch (result.ending) {
-    case attempt_ending::whole:
+    case attempt_ending::complete:
       return delivered{};
     case attempt_ending::refused:
-      return this->on_refused(result.code, now);
-    case attempt_ending::never_sent:
+      return this->on_attempt_refused(result.code, now);
+    case attempt_ending::not_sent:
       // The home avoids the server for a limited time. It isn't excluded here:
       // one connection that was not accepted in time would exclude the only
       // server of a model for the rest of this request.
       return this->retry(true, result.code, now);
-    case attempt_ending::caller_gone:
+    case attempt_ending::caller_disconnected:
       this->may_have_run = true;
       return this->refuse(result_code::caller_gone, milliseconds{0},
                           "the caller hung up");
-    case attempt_ending::broken:
+    case attempt_ending::interrupted:
       break;
   }
-  return this->on_broken(result, now);
+  return this->on_attempt_interrupted(result, now);
 }
 
-flow_step request_flow::on_refused(result_code code, time_point now) {
+flow_step request_flow::on_attempt_refused(result_code code, time_point now) {
   if (passes_soon(code)) return this->retry(false, code, now);
   this->exclude_server();
   return this->retry(true, code, now);
 }
 
-flow_step request_flow::on_broken(const attempt_result& result,
-                                  time_point now) {
-  if (result.crashed) ++this->crashes;
-  if (result.passed_on) {
+flow_step request_flow::on_attempt_interrupted(const attempt_result& result,
+                                               time_point now) {
+  if (result.server_crashed) ++this->server_crashes;
+  if (result.partly_forwarded) {
     this->may_have_run = true;
     return this->refuse(result.code, milliseconds{0},
                         "the answer broke off on the way");
   }
   if (this->request.non_idempotent) {
-    this->fate_asks = 0;
-    if (result.crashed) {
+    this->status_queries = 0;
+    if (result.server_crashed) {
       this->may_have_run = true;
       return this->refuse(result_code::outcome_unknown, milliseconds{0},
                           "its backend server went down while running it");
     }
     // The caller must get the final response by its deadline, and a paused
     // agent responds to no query until it continues.
-    if (now + this->limits.fate_time > this->request.deadline) {
+    if (now + this->limits.status_query_timeout > this->request.deadline) {
       this->may_have_run = true;
       return this->refuse(result_code::outcome_unknown, milliseconds{0},
                           "it was sent and its end is not known in time");
     }
-    this->asking_fate = true;
-    return ask_fate{this->current, this->permit};
+    this->is_querying_status = true;
+    return query_attempt_status{this->current_attempt, this->permit};
   }
   this->may_have_run = true;
   this->exclude_server();
   return this->retry(true, result.code, now);
 }
 
-flow_step request_flow::on_fate(std::optional<wire::attempt_status> fate,
-                                time_point now) {
-  this->asking_fate = false;
+flow_step request_flow::on_attempt_status(
+    std::optional<wire::attempt_status> fate, time_point now) {
+  this->is_querying_status = false;
   if (!fate) {
-    ++this->fate_asks;
-    const auto wait = backoff(this->fate_asks, this->limits.backoff_base * 4,
-                              this->limits.backoff_cap, this->random_bits());
+    ++this->status_queries;
+    const auto wait =
+        backoff(this->status_queries, this->limits.backoff_base * 4,
+                this->limits.backoff_cap, this->random_bits());
     const bool ask_again =
-        this->fate_asks < this->limits.max_fate_asks &&
-        now + wait + this->limits.fate_time < this->request.deadline;
+        this->status_queries < this->limits.max_status_queries &&
+        now + wait + this->limits.status_query_timeout < this->request.deadline;
     if (ask_again) {
-      this->asking_fate = true;
+      this->is_querying_status = true;
       return pause_until{now + wait};
     }
     this->may_have_run = true;
@@ -159,11 +163,13 @@
       this->exclude_server();
       return this->retry(true, result_code::peer_unreachable, now);
     case wire::attempt_status::ended:
-      return fetch_kept{this->current, this->permit};
+      return fetch_stored_response{this->current_attempt, this->permit};
     case wire::attempt_status::running: {
       const auto wait = this->limits.backoff_cap / 4;
-      if (now + wait + this->limits.fate_time >= this->request.deadline) break;
-      this->asking_fate = true;
+      if (now + wait + this->limits.status_query_timeout >=
+          this->request.deadline)
+        break;
+      this->is_querying_status = true;
       return pause_until{now + wait};
     }
     case wire::attempt_status::broken:
@@ -175,7 +181,7 @@
                       "it was sent and its end is not known");
 }
 
-flow_step request_flow::on_kept(bool whole, time_point now) {
+flow_step request_flow::on_stored_response(bool whole, time_point now) {
   (void)now;
   if (whole) return delivered{};
   this->may_have_run = true;
@@ -183,39 +189,41 @@
                       "it ran and its answer could not be fetched");
 }
 
-flow_step request_flow::on_caller_gone() const {
+flow_step request_flow::on_caller_disconnected() const {
   return this->refuse(result_code::caller_gone, milliseconds{0},
                       "the caller hung up");
 }
 
 flow_step request_flow::on_pause_over(time_point now) {
-  if (this->asking_fate) return ask_fate{this->current, this->permit};
-  if (now >= this->request.deadline) return this->out_of_time(now);
-  return this->next_attempt(now);
+  if (this->is_querying_status)
+    return query_attempt_status{this->current_attempt, this->permit};
+  if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
+  return this->start_next_attempt(now);
 }
 
-flow_step request_flow::next_attempt(time_point now) {
-  if (now >= this->request.deadline) return this->out_of_time(now);
-  ++this->current.number;
-  return this->ask(now);
+flow_step request_flow::start_next_attempt(time_point now) {
+  if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
+  ++this->current_attempt.number;
+  return this->make_permit_request(now);
 }
 
-flow_step request_flow::ask(time_point now) {
+flow_step request_flow::make_permit_request(time_point now) {
   const auto left =
       std::chrono::duration_cast<milliseconds>(this->request.deadline - now);
-  return ask_home{.rank = this->rank,
-                  .ask = {.attempt = this->current.to_string(),
-                          .entry = this->request.entry,
-                          .target = this->request.target,
-                          .adapter = this->request.adapter,
-                          .profile = this->request.profile,
-                          .time_left_ms = left.count(),
-                          .priority = this->request.priority,
-                          .fingerprint = this->request.fingerprint,
-                          .non_idempotent = this->request.non_idempotent,
-                          .crashes = this->crashes,
-                          .excluded = this->excluded,
-                          .passed_on = this->rank > 0}};
+  return request_permit{
+      .rank = this->home_rank,
+      .request = {.attempt = this->current_attempt.to_string(),
+                  .entry = this->request.entry,
+                  .target = this->request.target,
+                  .adapter = this->request.adapter,
+                  .profile = this->request.profile,
+                  .time_left_ms = left.count(),
+                  .priority = this->request.priority,
+                  .fingerprint = this->request.fingerprint,
+                  .non_idempotent = this->request.non_idempotent,
+                  .crashes = this->server_crashes,
+                  .excluded = this->excluded_servers,
+                  .passed_on = this->home_rank > 0}};
 }
 
 flow_step request_flow::retry(bool charged, result_code code, time_point now) {
@@ -223,8 +231,8 @@
   // refuse one request many times within its deadline, which only the backoff
   // and the deadline bound. When they were counted, callers got `server_busy`
   // with most of their time left.
-  if (charged) ++this->failures;
-  if (this->failures >= this->limits.max_attempts) {
+  if (charged) ++this->failed_attempts;
+  if (this->failed_attempts >= this->limits.max_attempts) {
     return this->refuse(code, this->limits.default_retry_after,
                         "no attempt succeeded");
   }
@@ -233,19 +241,21 @@
                         this->limits.default_retry_after,
                         "too many requests are being retried");
   }
-  const auto wait = backoff(this->current.number, this->limits.backoff_base,
-                            this->limits.backoff_cap, this->random_bits());
-  if (now + wait >= this->request.deadline) return this->out_of_time(now);
+  const auto wait =
+      backoff(this->current_attempt.number, this->limits.backoff_base,
+              this->limits.backoff_cap, this->random_bits());
+  if (now + wait >= this->request.deadline)
+    return this->refuse_deadline_passed(now);
   return pause_until{now + wait};
 }
 
 flow_step request_flow::refuse(result_code code, milliseconds retry_after,
                                std::string reason) const {
   const auto ran = this->may_have_run ? ran_state::unknown : ran_state::no;
-  return give_up{refusal{code, ran, retry_after, std::move(reason)}};
+  return refuse_request{refusal{code, ran, retry_after, std::move(reason)}};
 }
 
-flow_step request_flow::out_of_time(time_point now) const {
+flow_step request_flow::refuse_deadline_passed(time_point now) const {
   (void)now;
   return this->refuse(result_code::deadline_passed,
                       this->limits.default_retry_after,
@@ -254,14 +264,15 @@
 
 void request_flow::exclude_server() {
   const auto& server = this->permit.server;
-  const auto found =
-      std::find(this->excluded.begin(), this->excluded.end(), server);
-  if (found == this->excluded.end()) this->excluded.push_back(server);
+  const auto found = std::find(this->excluded_servers.begin(),
+                               this->excluded_servers.end(), server);
+  if (found == this->excluded_servers.end())
+    this->excluded_servers.push_back(server);
 }
 
 bool is_final(const flow_step& step) {
   return std::holds_alternative<delivered>(step) ||
-         std::holds_alternative<give_up>(step);
+         std::holds_alternative<refuse_request>(step);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/request_flow.hpp
+++ b/src/decide/request_flow.hpp
@@ -51,58 +51,60 @@
   /// Handles the result of writing an idempotency claim.
   ///
   /// \param code ok, or why the claim was not written.
-  flow_step on_claim(result_code code, time_point now);
+  flow_step on_claim_written(result_code code, time_point now);
 
   /// Handles the result of a dispatched attempt.
   flow_step on_attempt(const attempt_result& result, time_point now);
 
   /// Handles the status that the agent reported for an attempt; nothing if it
   /// did not respond.
-  flow_step on_fate(std::optional<wire::attempt_status> fate, time_point now);
+  flow_step on_attempt_status(std::optional<wire::attempt_status> fate,
+                              time_point now);
 
   /// Handles the result of fetching a stored response.
   ///
   /// \param whole True if the complete response was fetched.
-  flow_step on_kept(bool whole, time_point now);
+  flow_step on_stored_response(bool whole, time_point now);
 
   /// Handles that the caller disconnected before an attempt was sent.
-  flow_step on_caller_gone() const;
+  flow_step on_caller_disconnected() const;
 
   /// Continues after a `pause_until` step.
   flow_step on_pause_over(time_point now);
 
   /// Returns the current or the last attempt.
-  const attempt_id& attempt() const { return this->current; }
+  const attempt_id& attempt() const { return this->current_attempt; }
 
-  std::uint32_t attempts() const { return this->current.number; }
+  std::uint32_t attempt_count() const { return this->current_attempt.number; }
 
  private:
-  flow_step ask(time_point now);
-  flow_step next_attempt(time_point now);
+  flow_step make_permit_request(time_point now);
+  flow_step start_next_attempt(time_point now);
   flow_step retry(bool charged, result_code code, time_point now);
   flow_step refuse(result_code code, milliseconds retry_after,
                    std::string reason) const;
-  flow_step out_of_time(time_point now) const;
-  flow_step on_refused(result_code code, time_point now);
-  flow_step on_broken(const attempt_result& result, time_point now);
+  flow_step refuse_deadline_passed(time_point now) const;
+  flow_step on_attempt_refused(result_code code, time_point now);
+  flow_step on_attempt_interrupted(const attempt_result& result,
+                                   time_point now);
   void exclude_server();
 
   flow_request request;
   flow_limits limits;
   std::function<bool()> take_retry;
   std::function<std::uint64_t()> random_bits;
-  attempt_id current;
+  attempt_id current_attempt;
   wire::permit_answer permit;
-  std::size_t rank = 0;
+  std::size_t home_rank = 0;
   std::size_t homes_lost = 0;
   /// Failed attempts, without refusals that are transient.
-  std::uint32_t failures = 0;
-  std::uint32_t crashes = 0;
-  std::uint32_t fate_asks = 0;
-  std::vector<std::string> excluded;
+  std::uint32_t failed_attempts = 0;
+  std::uint32_t server_crashes = 0;
+  std::uint32_t status_queries = 0;
+  std::vector<std::string> excluded_servers;
   /// True once an attempt may have run whose response was not received.
   bool may_have_run = false;
-  bool asking_fate = false;
+  bool is_querying_status = false;
 };
 
 /// Returns true if no step follows this one.
--- a/src/decide/residency_action.hpp
+++ b/src/decide/residency_action.hpp
@@ -11,9 +11,9 @@
 
 /// Why an order is issued; appears in the agent's log and metrics.
 enum class order_reason {
-  wake,
+  on_demand,
   evicted,
-  keep_warm_over,
+  keep_warm_expired,
   retired,
   not_granted,
   fence_engine,
@@ -22,11 +22,11 @@
 /// Returns the reason as written to logs and metric labels.
 constexpr std::string_view name_of(order_reason reason) noexcept {
   switch (reason) {
-    case order_reason::wake:
+    case order_reason::on_demand:
       return "wake";
     case order_reason::evicted:
       return "evicted";
-    case order_reason::keep_warm_over:
+    case order_reason::keep_warm_expired:
       return "keep_warm_over";
     case order_reason::retired:
       return "retired";
@@ -41,7 +41,7 @@
 /// Send this order and report the response to `residency::on_order_done`.
 struct send_order {
   engine_order order;
-  order_reason reason = order_reason::wake;
+  order_reason reason = order_reason::on_demand;
 
   bool operator==(const send_order&) const = default;
 };
@@ -59,34 +59,35 @@
 };
 
 /// Acknowledge that the model is unloaded and its grant given up.
-struct note_given_up {
+struct notify_given_up {
   std::string model;
 
-  bool operator==(const note_given_up&) const = default;
+  bool operator==(const notify_given_up&) const = default;
 };
 
 /// Report a model's changed state to its homes at once.
-struct note_changed {
+struct notify_model_changed {
   std::string model;
 
-  bool operator==(const note_changed&) const = default;
+  bool operator==(const notify_model_changed&) const = default;
 };
 
 /// The engine process restarted and holds none of the earlier models.
-struct note_engine_restarted {
-  bool operator==(const note_engine_restarted&) const = default;
+struct notify_engine_restarted {
+  bool operator==(const notify_engine_restarted&) const = default;
 };
 
 /// A later process of this agent took over: issue no more orders and admit no
 /// more attempts.
-struct note_overtaken {
-  bool operator==(const note_overtaken&) const = default;
+struct notify_superseded {
+  bool operator==(const notify_superseded&) const = default;
 };
 
 /// An action that `residency` requests from its caller.
 using residency_action =
-    std::variant<send_order, read_engine_state, read_grants, note_given_up,
-                 note_changed, note_engine_restarted, note_overtaken>;
+    std::variant<send_order, read_engine_state, read_grants, notify_given_up,
+                 notify_model_changed, notify_engine_restarted,
+                 notify_superseded>;
 
 }  // namespace boragehill::decide
 
--- a/src/decide/residency_holding.hpp
+++ b/src/decide/residency_holding.hpp
@@ -15,13 +15,13 @@
   wire::replica_state state = wire::replica_state::cold;
   /// Memory that a load of it reserves.
   std::uint64_t bytes = 0;
-  std::uint32_t users = 0;
+  std::uint32_t running_attempts = 0;
   time_point last_used{};
   /// How long it stays loaded when idle; negative: as long as it is granted.
   milliseconds keep_warm{0};
   /// No eviction before this time, so that a newly loaded replica serves a
   /// request first.
-  time_point fresh_until{};
+  time_point protected_until{};
   /// When a load was first requested, and when that request expires.
   std::optional<time_point> wanted_since;
   time_point wanted_until{};
@@ -29,12 +29,13 @@
   bool retiring = false;
 
   /// Returns whether it is loaded without a running attempt.
-  bool idle() const {
-    return this->state == wire::replica_state::ready && this->users == 0;
+  bool is_idle() const {
+    return this->state == wire::replica_state::ready &&
+           this->running_attempts == 0;
   }
 
   /// Returns whether a load request for it is pending.
-  bool wanted(time_point now) const {
+  bool is_wanted(time_point now) const {
     return this->wanted_since.has_value() && now < this->wanted_until;
   }
 };
--- a/src/decide/residency_choice.hpp
+++ b/src/decide/residency_load_choice.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_RESIDENCY_CHOICE_HPP
-#define BORAGEHILL_DECIDE_RESIDENCY_CHOICE_HPP
+#ifndef BORAGEHILL_DECIDE_RESIDENCY_LOAD_CHOICE_HPP
+#define BORAGEHILL_DECIDE_RESIDENCY_LOAD_CHOICE_HPP
 
 #include <string>
 #include <vector>
@@ -9,18 +9,18 @@
 namespace boragehill::decide {
 
 /// A worker on which to load a model, and what to evict there for it.
-struct residency_planner::choice {
+struct residency_planner::load_choice {
   std::string worker;
   const fleet::model* model = nullptr;
-  std::vector<std::string> victims;
-  milliseconds time{0};
+  std::vector<std::string> evictions;
+  milliseconds load_time{0};
   bool from_store = false;
   /// Expected cost in seconds of waiting, summed over all requests.
-  double cost = 0;
+  double cost_seconds = 0;
   /// The part of `cost_seconds` that falls on requests for evicted models.
-  double loss = 0;
+  double eviction_cost_seconds = 0;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_RESIDENCY_CHOICE_HPP
+#endif  // BORAGEHILL_DECIDE_RESIDENCY_LOAD_CHOICE_HPP
