--- a/src/decide/residency_orders.cpp
+++ b/src/decide/residency_orders.cpp
@@ -8,28 +8,29 @@
 
 using wire::replica_state;
 
-bool residency::old_orders_gone(time_point now) const {
+bool residency::old_orders_expired(time_point now) const {
   // An order of an earlier process of this agent may still be in transit and
   // would load a model without a reservation. An engine that checks fencing
   // numbers rejects it once it has seen this process's number; with others,
   // wait for the maximum delivery time.
   if (this->settings.engine_checks_fence) return this->engine_fenced;
-  return now - this->started >= this->settings.wait_out;
+  return now - this->started_at >= this->settings.max_order_delivery;
 }
 
 bool residency::may_order(time_point now) const {
-  if (this->overtaken || !this->up || !this->state_known) return false;
+  if (this->superseded || !this->engine_responding || !this->state_known)
+    return false;
   if (this->fence == 0 || !this->grants_known) return false;
-  return this->settings.engine_checks_fence || this->old_orders_gone(now);
+  return this->settings.engine_checks_fence || this->old_orders_expired(now);
 }
 
 std::optional<residency::next_order> residency::choose_order(
     time_point now) const {
-  if (!this->old_orders_gone(now)) {
+  if (!this->old_orders_expired(now)) {
     return next_order{order_kind::unload, fence_probe_name,
                       order_reason::fence_engine};
   }
-  const bool may_unload = now >= this->next_unload;
+  const bool may_unload = now >= this->unload_not_before;
   if (may_unload) {
     if (auto forced = this->choose_forced_unload()) return forced;
   }
@@ -40,10 +41,10 @@
 
 std::optional<residency::next_order> residency::choose_forced_unload() const {
   for (const auto& [name, held] : this->holdings) {
-    if (is_adapter(name) || !held.idle()) continue;
-    const bool has_grant = this->granted(name);
+    if (is_adapter(name) || !held.is_idle()) continue;
+    const bool has_grant = this->is_granted(name);
     if (has_grant && !held.retiring) continue;
-    const std::string step = this->unload_step(name);
+    const std::string step = this->first_to_unload(name);
     if (step.empty()) continue;
     return next_order{
         order_kind::unload, step,
@@ -55,16 +56,16 @@
 std::optional<residency::next_order> residency::choose_load(
     time_point now) const {
   if (this->draining) return std::nullopt;
-  for (const auto& name : this->wanted_names(now)) {
-    if (auto next = this->order_for(name, now)) return next;
+  for (const auto& name : this->wanted_loads(now)) {
+    if (auto next = this->next_order_towards_load(name, now)) return next;
   }
   return std::nullopt;
 }
 
-std::optional<residency::next_order> residency::order_for(
+std::optional<residency::next_order> residency::next_order_towards_load(
     const std::string& name, time_point now) const {
   const std::string base = base_of(name);
-  if (!this->granted(base)) return std::nullopt;
+  if (!this->is_granted(base)) return std::nullopt;
   const residency_holding* held = this->find(base);
   if (held == nullptr || held->retiring) return std::nullopt;
   if (is_adapter(name) && held->state != replica_state::ready) {
@@ -73,13 +74,13 @@
   const std::uint64_t bytes = this->find(name)->bytes;
   const std::uint64_t free = this->memory.free();
   if (bytes <= free) {
-    return next_order{order_kind::load, name, order_reason::wake};
+    return next_order{order_kind::load, name, order_reason::on_demand};
   }
-  if (now < this->next_unload) return std::nullopt;
+  if (now < this->unload_not_before) return std::nullopt;
   const auto victim =
-      choose_victim(this->victims(base, now), bytes - free, now);
+      choose_eviction(this->eviction_candidates(base, now), bytes - free, now);
   if (!victim) return std::nullopt;
-  const std::string step = this->unload_step(*victim);
+  const std::string step = this->first_to_unload(*victim);
   if (step.empty()) return std::nullopt;
   return next_order{order_kind::unload, step, order_reason::evicted};
 }
@@ -87,22 +88,24 @@
 std::optional<residency::next_order> residency::choose_idle_unload(
     time_point now) const {
   for (const auto& [name, held] : this->holdings) {
-    if (!held.idle() || held.wanted(now)) continue;
-    if (now < held.fresh_until) continue;
-    if (!past_keep_warm(held.keep_warm, held.last_used, now)) continue;
+    if (!held.is_idle() || held.is_wanted(now)) continue;
+    if (now < held.protected_until) continue;
+    if (!is_past_keep_warm(held.keep_warm, held.last_used, now)) continue;
     if (!is_adapter(name) && !this->may_evict_base(name, now)) continue;
-    const std::string step = this->unload_step(name);
+    const std::string step = this->first_to_unload(name);
     if (step.empty()) continue;
-    return next_order{order_kind::unload, step, order_reason::keep_warm_over};
+    return next_order{order_kind::unload, step,
+                      order_reason::keep_warm_expired};
   }
   return std::nullopt;
 }
 
-std::vector<std::string> residency::wanted_names(time_point now) const {
+std::vector<std::string> residency::wanted_loads(time_point now) const {
   std::vector<std::string> names;
   for (const auto& [name, held] : this->holdings) {
-    if (held.state != replica_state::cold || this->memory.holds(name)) continue;
-    if (held.wanted(now)) names.push_back(name);
+    if (held.state != replica_state::cold || this->memory.has_reservation(name))
+      continue;
+    if (held.is_wanted(now)) names.push_back(name);
   }
   std::stable_sort(names.begin(), names.end(),
                    [this](const std::string& left, const std::string& right) {
@@ -112,8 +115,8 @@
   return names;
 }
 
-std::vector<eviction_candidate> residency::victims(const std::string& target,
-                                                   time_point now) const {
+std::vector<eviction_candidate> residency::eviction_candidates(
+    const std::string& target, time_point now) const {
   std::vector<eviction_candidate> list;
   const auto add = [&](const std::string& name, std::uint64_t bytes) {
     const residency_holding& held = *this->find(name);
@@ -125,7 +128,7 @@
          .reload = this->load_time.expected(this->tier_of(name), bytes)});
   };
   for (const auto& [name, held] : this->holdings) {
-    if (!held.idle() || now < held.fresh_until) continue;
+    if (!held.is_idle() || now < held.protected_until) continue;
     const std::string base = base_of(name);
     const bool whole = base != target && this->may_evict_base(base, now);
     if (!is_adapter(name) && whole) add(name, this->bytes_with_adapters(name));
@@ -137,22 +140,24 @@
 
 bool residency::may_evict_base(const std::string& base, time_point now) const {
   const residency_holding* held = this->find(base);
-  if (held == nullptr || !held->idle() || now < held->fresh_until) return false;
+  if (held == nullptr || !held->is_idle() || now < held->protected_until)
+    return false;
   const auto first = this->holdings.lower_bound(base + ":");
   for (auto it = first; it != this->holdings.end(); ++it) {
     if (base_of(it->first) != base) break;
     const residency_holding& adapter = it->second;
-    if (adapter.wanted(now) || adapter.users > 0) return false;
-    if (now < adapter.fresh_until) return false;
-    if (this->memory.holds(it->first) && !adapter.idle()) return false;
+    if (adapter.is_wanted(now) || adapter.running_attempts > 0) return false;
+    if (now < adapter.protected_until) return false;
+    if (this->memory.has_reservation(it->first) && !adapter.is_idle())
+      return false;
   }
   return true;
 }
 
-std::string residency::unload_step(const std::string& name) const {
+std::string residency::first_to_unload(const std::string& name) const {
   // Adapters first: the engine cannot account for an adapter without its base.
   for (const auto& adapter : this->adapters_of(name)) {
-    return this->find(adapter)->idle() ? adapter : std::string{};
+    return this->find(adapter)->is_idle() ? adapter : std::string{};
   }
   return name;
 }
@@ -162,7 +167,7 @@
   const auto first = this->holdings.lower_bound(base + ":");
   for (auto it = first; it != this->holdings.end(); ++it) {
     if (base_of(it->first) != base) break;
-    if (this->memory.holds(it->first)) names.push_back(it->first);
+    if (this->memory.has_reservation(it->first)) names.push_back(it->first);
   }
   return names;
 }
@@ -175,7 +180,7 @@
   return bytes;
 }
 
-void residency::send(const next_order& next, time_point now) {
+void residency::issue_order(const next_order& next, time_point now) {
   const engine_order order{.kind = next.kind,
                            .model = next.name,
                            .bytes = this->memory.bytes_of(next.name),
@@ -191,10 +196,10 @@
     } else {
       held.state = replica_state::unloading;
     }
-    this->actions.emplace_back(note_changed{base_of(next.name)});
+    this->actions.emplace_back(notify_model_changed{base_of(next.name)});
   }
   this->call = engine_call::ordering;
-  this->outstanding = outstanding_order{.order = sent, .sent = now};
+  this->outstanding = outstanding_order{.order = sent, .sent_at = now};
   this->actions.emplace_back(send_order{sent, next.reason});
 }
 
--- a/src/decide/residency_planner.hpp
+++ b/src/decide/residency_planner.hpp
@@ -11,12 +11,12 @@
 
 #include <boragehill/time_point.hpp>
 
+#include "decide/aggregated_demand.hpp"
 #include "decide/demand_report.hpp"
-#include "decide/model_state.hpp"
+#include "decide/load_decision.hpp"
 #include "decide/planned_worker.hpp"
 #include "decide/planner_settings.hpp"
-#include "decide/residency_move.hpp"
-#include "decide/store_pace.hpp"
+#include "decide/store_concurrency_limit.hpp"
 #include "fleet/catalog.hpp"
 #include "fleet/server_list.hpp"
 
@@ -39,45 +39,45 @@
 class residency_planner {
  public:
   explicit residency_planner(const planner_settings& settings)
-      : settings(settings), pace(settings.store_loads) {}
+      : settings(settings), store_limit(settings.initial_store_loads) {}
 
   void set_catalog(std::shared_ptr<const fleet::catalog> news);
   void set_servers(const fleet::server_list& list, time_point now);
   /// Starts planning as the new leader. Earlier reports are dropped because
   /// they may be outdated.
-  void begin(time_point now);
+  void start(time_point now);
   void on_report(const std::string& server, const fleet::worker_report& report,
                  time_point now);
   /// The agent of the worker cannot reach it: none of its models can serve
   /// requests.
-  void on_unreachable(const std::string& server);
-  void on_demand(const std::string& router, const demand_report& report,
-                 time_point now);
-  void on_router_gone(const std::string& router);
+  void on_worker_unreachable(const std::string& server);
+  void on_demand_report(const std::string& router, const demand_report& report,
+                        time_point now);
+  void on_router_removed(const std::string& router);
 
   /// Computes a new plan; the targets are in `workers()` afterwards.
   /// \return The loads that this step decided.
-  std::vector<residency_move> step(time_point now);
+  std::vector<load_decision> step(time_point now);
 
   /// \return When each requested model that is not loaded on any worker is
   ///     expected to be ready, as of the last step.
-  const std::map<std::string, time_point>& expected() const {
-    return this->expectations;
+  const std::map<std::string, time_point>& expected_ready_times() const {
+    return this->ready_times;
   }
 
   /// \return The model workers by id.
   const std::map<std::string, planned_worker>& workers() const {
-    return this->known;
+    return this->workers_by_id;
   }
 
  private:
-  struct choice;
+  struct load_choice;
   /// A load from the weight store that this step would like to start.
-  struct store_wish {
+  struct wanted_store_load {
     const fleet::model* model = nullptr;
-    const char* why = "";
+    const char* reason = "";
     /// Requests for the model within the window over which arrivals count.
-    double requests = 0;
+    double requests_in_window = 0;
   };
 
   /// Period over which eviction costs and replica gains are computed: about the
@@ -85,46 +85,49 @@
   /// demand.
   static constexpr double horizon_seconds = 5;
 
-  void sum_up(time_point now);
+  void aggregate_reports(time_point now);
   /// Marks workers as unresponsive from which no router receives anything.
   ///
   /// Otherwise a worker whose machine stalls for seconds stays in use as long
   /// as the last report of its agent counts (1.5 s), while its callers time out
   /// after 2 s. With the routers' reports its models are loaded elsewhere 0.3 s
   /// after it stopped responding.
-  void judge_silence(time_point now);
+  void update_unresponsive_workers(time_point now);
   /// Computes the eviction candidates of each worker of a service.
-  void appraise(const fleet::service& service, time_point now);
-  void appraise(planned_worker& worker, const fleet::service& service,
-                time_point now);
+  void update_eviction_candidates(const fleet::service& service,
+                                  time_point now);
+  void update_eviction_candidates(planned_worker& worker,
+                                  const fleet::service& service,
+                                  time_point now);
   /// Recomputes the eviction candidates of the workers that hold models which
   /// were just evicted elsewhere, so that one step does not evict the last
   /// replica of a busy model.
-  void appraise_holders(const std::vector<std::string>& dropped,
-                        time_point now);
-  const fleet::model* model_of(const std::string& name) const;
-  void settle_pending(planned_worker& worker, time_point now);
+  void update_eviction_candidates_of_holders(
+      const std::vector<std::string>& dropped, time_point now);
+  const fleet::model* find_model(const std::string& name) const;
+  void update_pending_load(planned_worker& worker, time_point now);
   /// \return Requested models that cannot be loaded now.
-  std::vector<const fleet::model*> wake_waiting(const fleet::service& service,
-                                                time_point now);
+  std::vector<const fleet::model*> load_waiting_models(
+      const fleet::service& service, time_point now);
   /// Starts the wanted store loads in the order of their request counts.
   ///
   /// After a restart of all routers and workers the first requests are for rare
   /// models without a local copy. They occupied the store for the next 15 s,
   /// and the busiest model, requested 100 times per second, stayed at one
   /// replica for the rest of the run.
-  void load_from_store(const fleet::service& service, time_point now);
+  void start_store_loads(const fleet::service& service, time_point now);
   /// Estimates when models will be ready that wait for a worker to be free.
-  void expect_later(const fleet::service& service,
-                    const std::vector<const fleet::model*>& unplaced,
-                    time_point now);
-  void relieve_busy(const fleet::service& service, time_point now);
+  void estimate_delayed_loads(const fleet::service& service,
+                              const std::vector<const fleet::model*>& unplaced,
+                              time_point now);
+  void scale_out_busy_models(const fleet::service& service, time_point now);
   /// \param each Requests per replica.
-  void relieve(const fleet::service& service, const fleet::model& model,
-               double each, time_point now);
+  void scale_out(const fleet::service& service, const fleet::model& model,
+                 double each, time_point now);
   /// \return True if requests for a loaded model exceed the capacity of its
   ///     replicas and no store load for it is running.
-  bool starves(const std::string& model, const model_state& state) const;
+  bool is_starved(const std::string& model,
+                  const aggregated_demand& state) const;
   /// Loads the models with the highest replica gain into free memory.
   ///
   /// After a release, the loss of a failure domain or a crash, workers come
@@ -132,89 +135,92 @@
   /// on the few old workers while the new ones stayed idle: they had no copies,
   /// so a load there was always slower than the next one from the disk of an
   /// old worker.
-  void stock_free_places(const fleet::service& service, time_point now);
+  void preload_free_memory(const fleet::service& service, time_point now);
   /// Loads models that no worker has a copy of from the store before they are
   /// requested, while no request needs the store.
   ///
   /// Half of the models fit on the workers at the start, and the others are
   /// requested occasionally. The first request for each of them waited 9 s for
   /// the store, where a disk takes 2 s and callers time out after 4 s.
-  void fetch_ahead(const fleet::service& service, time_point now);
+  void prefetch_missing_copies(const fleet::service& service, time_point now);
   /// \return The most requested model without a local copy; null if every model
   ///     has a copy or is being loaded.
-  const fleet::model* most_wanted_without_copy(const fleet::service& service,
-                                               time_point now) const;
+  const fleet::model* most_requested_without_copy(const fleet::service& service,
+                                                  time_point now) const;
   /// \return An idle worker that can load the model at an eviction cost below
   ///     `max_idle_eviction_cost_s`.
-  std::optional<choice> idle_place_for(const fleet::service& service,
-                                       const fleet::model& model,
-                                       time_point now) const;
+  std::optional<load_choice> find_idle_worker(const fleet::service& service,
+                                              const fleet::model& model,
+                                              time_point now) const;
   /// \return Idle workers with enough free memory for a model.
-  std::vector<const planned_worker*> workers_with_room(
+  std::vector<const planned_worker*> workers_with_free_memory(
       const fleet::service& service, time_point now) const;
   /// \return The model with the highest replica gain that fits into the free
   ///     memory of the worker.
-  std::optional<choice> most_missed(const planned_worker& worker,
-                                    const fleet::service& service,
-                                    time_point now) const;
+  std::optional<load_choice> choose_preload(const planned_worker& worker,
+                                            const fleet::service& service,
+                                            time_point now) const;
   /// \return Waiting time in seconds, summed over all expected requests, that
   ///     one more replica saves.
-  double gain_of_placing(const fleet::model& model, time_point now) const;
-  void count_copies();
-  bool may_stock_from_store() const;
+  double replica_gain_s(const fleet::model& model, time_point now) const;
+  void collect_local_copies();
+  bool may_preload_from_store() const;
   void place_adapters(const fleet::service& service, time_point now);
   void place_adapter(const fleet::service& service, const std::string& model,
                      const std::string& adapter, time_point now);
-  std::optional<choice> choose_worker(const fleet::service& service,
-                                      const fleet::model& model,
-                                      double most_requests, time_point now);
-  std::optional<choice> consider(const fleet::model& model,
-                                 const std::string& id,
-                                 const planned_worker& worker, bool may_load,
-                                 time_point now) const;
-  double cost_of_losing(const planned_worker& worker, const std::string& model,
-                        time_point now) const;
-  void carry_out(const choice& chosen, const char* why, time_point now);
-  bool fresh(const planned_worker& worker, time_point now) const;
+  std::optional<load_choice> choose_worker(const fleet::service& service,
+                                           const fleet::model& model,
+                                           double most_requests,
+                                           time_point now);
+  std::optional<load_choice> evaluate_worker(const fleet::model& model,
+                                             const std::string& id,
+                                             const planned_worker& worker,
+                                             bool may_load,
+                                             time_point now) const;
+  double eviction_cost_s(const planned_worker& worker, const std::string& model,
+                         time_point now) const;
+  void start_load(const load_choice& chosen, const char* why, time_point now);
+  bool is_responsive(const planned_worker& worker, time_point now) const;
   /// \return Responsive workers that serve the model or are about to. A crashed
   ///     worker stays in the server list for seconds; counting its models would
   ///     allow the last live replica to be evicted.
-  int replicas_of(const std::string& model) const;
-  bool usable(const planned_worker& worker, const fleet::service& service,
-              time_point now) const;
-  int store_loads() const;
+  int replica_count(const std::string& model) const;
+  bool may_start_load(const planned_worker& worker,
+                      const fleet::service& service, time_point now) const;
+  int active_store_loads() const;
   /// Updates the concurrency limit of the store from the loads in progress.
-  void watch_store(time_point now);
-  void watch_load(planned_load& load, time_point now);
+  void observe_store_loads(time_point now);
+  void on_store_load_finished(planned_load& load, time_point now);
   /// A load from the store is past its due time.
-  void watch_overdue(planned_load& load, time_point now);
+  void on_store_load_overdue(planned_load& load, time_point now);
   /// \return When the store can start further loads, one entry per load slot,
   ///     in ascending order.
-  std::vector<time_point> store_free_at(time_point now) const;
+  std::vector<time_point> store_slot_free_times(time_point now) const;
   /// \return True while a worker that may have a local copy has not reported
   ///     yet.
-  bool acquainting(const fleet::service& service, time_point now) const;
+  bool is_awaiting_first_reports(const fleet::service& service,
+                                 time_point now) const;
 
   planner_settings settings;
   std::shared_ptr<const fleet::catalog> catalog;
-  std::map<std::string, planned_worker> known;
-  std::map<std::string, demand_report> routers;
-  std::unordered_map<std::string, const fleet::model*> specs;
-  std::map<std::string, model_state> models;
+  std::map<std::string, planned_worker> workers_by_id;
+  std::map<std::string, demand_report> demand_by_router;
+  std::unordered_map<std::string, const fleet::model*> models_by_name;
+  std::map<std::string, aggregated_demand> demand_by_model;
   /// Number of workers that serve each model or are about to, and the models
   /// that at least one worker serves now. Both are valid for one step.
-  std::unordered_map<std::string, int> replicas;
-  std::unordered_map<std::string, bool> served;
-  time_point began;
-  std::vector<residency_move> moves;
-  std::map<std::string, time_point> expectations;
+  std::unordered_map<std::string, int> replica_counts;
+  std::unordered_map<std::string, bool> loaded_models;
+  time_point started_at;
+  std::vector<load_decision> decided_loads;
+  std::map<std::string, time_point> ready_times;
   /// Total load time queued for each busy worker in this step.
-  std::map<std::string, milliseconds> claimed;
+  std::map<std::string, milliseconds> queued_load_time;
   /// Models with a local copy on a worker that is not draining, in this step.
-  std::unordered_set<std::string> copies;
-  std::vector<store_wish> from_store;
-  store_pace pace;
-  time_point store_watched;
+  std::unordered_set<std::string> models_with_copy;
+  std::vector<wanted_store_load> wanted_store_loads;
+  store_concurrency_limit store_limit;
+  time_point store_observed_at;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/residency_report.cpp
+++ b/src/decide/residency_report.cpp
@@ -28,11 +28,11 @@
     report.state = held->state;
     // Reported as unloading so that homes send no more requests to a replica
     // that loses its grant.
-    const bool leaves = held->retiring || !this->granted(base);
+    const bool leaves = held->retiring || !this->is_granted(base);
     if (leaves && held->state == replica_state::ready) {
       report.state = replica_state::unloading;
     }
-    report.running = held->users;
+    report.running = held->running_attempts;
   }
   if (report.state == replica_state::loading) {
     report.ready_in_ms = this->ready_in(base, now).count();
@@ -51,14 +51,15 @@
 
 std::uint64_t residency::evictable_bytes(time_point now) const {
   std::uint64_t bytes = 0;
-  for (const auto& victim : this->victims({}, now)) bytes += victim.bytes;
+  for (const auto& victim : this->eviction_candidates({}, now))
+    bytes += victim.bytes;
   return bytes;
 }
 
 std::uint32_t residency::idle_replicas() const {
   std::uint32_t count = 0;
   for (const auto& [name, held] : this->holdings) {
-    if (!is_adapter(name) && held.idle()) ++count;
+    if (!is_adapter(name) && held.is_idle()) ++count;
   }
   return count;
 }
@@ -69,16 +70,18 @@
   return found->second;
 }
 
-bool residency::fits_in_time(const std::string& base, std::uint64_t bytes,
-                             time_point now) const {
+bool residency::fits_after_evictions(const std::string& base,
+                                     std::uint64_t bytes,
+                                     time_point now) const {
   std::uint64_t room = this->memory.free();
-  for (const auto& victim : this->victims(base, now)) room += victim.bytes;
+  for (const auto& victim : this->eviction_candidates(base, now))
+    room += victim.bytes;
   if (this->outstanding &&
       this->outstanding->order.kind == order_kind::unload) {
     room += this->memory.bytes_of(this->outstanding->order.model);
   }
   std::uint64_t ahead = 0;
-  for (const auto& name : this->wanted_names(now)) {
+  for (const auto& name : this->wanted_loads(now)) {
     if (base_of(name) == base) continue;
     ahead += this->find(name)->bytes;
   }
@@ -96,12 +99,12 @@
     const engine_order& order = this->outstanding->order;
     const auto whole =
         this->load_time.expected(this->tier_of(order.model), order.bytes);
-    const auto past =
-        std::chrono::duration_cast<milliseconds>(now - this->outstanding->sent);
+    const auto past = std::chrono::duration_cast<milliseconds>(
+        now - this->outstanding->sent_at);
     wait += std::max(whole - past, milliseconds(0));
     if (order.model == name) return wait;
   }
-  for (const auto& ahead : this->wanted_names(now)) {
+  for (const auto& ahead : this->wanted_loads(now)) {
     wait += this->load_time.expected(this->tier_of(ahead),
                                      this->find(ahead)->bytes);
     if (ahead == name) break;
--- a/src/decide/residency_settings.hpp
+++ b/src/decide/residency_settings.hpp
@@ -10,17 +10,17 @@
   /// Whether the engine rejects orders with an outdated fencing number.
   bool engine_checks_fence = true;
   /// The longest time that an order may take to reach the engine.
-  milliseconds wait_out{5000};
+  milliseconds max_order_delivery{5000};
   /// Interval between reads of the engine's state.
-  milliseconds state_poll{1000};
+  milliseconds state_poll_interval{1000};
   /// Interval between reads of this server's row in the table.
-  milliseconds grants_poll{10000};
+  milliseconds grants_poll_interval{10000};
   /// Keep-warm time of replicas found loaded, until a home requests a load.
-  milliseconds keep_warm{60000};
+  milliseconds default_keep_warm{60000};
   /// How long a newly loaded replica without a request is safe from eviction.
-  milliseconds protect_fresh{5000};
+  milliseconds unused_protection{5000};
   /// How long a load request stays valid while the load cannot begin.
-  milliseconds wake_stays{60000};
+  milliseconds load_request_lifetime{60000};
 
   bool operator==(const residency_settings&) const = default;
 };
--- a/src/decide/answer_pulse.hpp
+++ b/src/decide/response_progress.hpp
@@ -1,11 +1,11 @@
-#ifndef BORAGEHILL_DECIDE_ANSWER_PULSE_HPP
-#define BORAGEHILL_DECIDE_ANSWER_PULSE_HPP
+#ifndef BORAGEHILL_DECIDE_RESPONSE_PROGRESS_HPP
+#define BORAGEHILL_DECIDE_RESPONSE_PROGRESS_HPP
 
 #include <algorithm>
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/spread_estimate.hpp"
+#include "decide/timeout_estimator.hpp"
 
 namespace boragehill::decide {
 
@@ -22,7 +22,7 @@
 /// long prompt is processed in chunks between which other streams continue.
 /// Before that, the time to the first byte counts, plus the time to process
 /// the prompts.
-class answer_pulse {
+class response_progress {
  public:
   /// Records that a request was sent.
   /// \param tokens Number of tokens of its prompt; 0 if it has none.
@@ -30,64 +30,66 @@
 
   /// Records the first bytes of a request's response.
   /// \param tokens As given to `on_sent`.
-  void on_begun(int tokens, time_point now);
+  void on_response_started(int tokens, time_point now);
 
   /// Records further bytes of any response.
-  void on_heard(time_point now);
+  void on_data(time_point now);
 
   /// Stops tracking a request whose response has started.
-  void on_begun_left();
+  void on_started_request_removed();
 
   /// Stops tracking a request whose response has not started.
   /// \param tokens As given to `on_sent`.
-  void on_unbegun_left(int tokens);
+  void on_unstarted_request_removed(int tokens);
 
   /// Records that a started response is not being read from the server because
   /// its caller applies back-pressure.
-  void on_held_up() { ++this->held_up; }
+  void on_read_paused() { ++this->read_paused; }
   /// Records that such a response is read again.
-  void on_resumed(time_point now);
+  void on_read_resumed(time_point now);
 
   /// Excludes a pause of the router itself, in which it could not read.
   /// \param until End of the pause.
-  void excuse(time_point until) { this->listened_since = until; }
+  void ignore_local_pause(time_point until) { this->observing_since = until; }
 
   /// \return True if responses are pending and no data has arrived for longer
   ///     than is usual for this server.
-  bool overdue(time_point now) const;
+  bool is_stalled(time_point now) const;
 
   /// \return Time of the last data from the server, whatever the router or a
   ///     caller did since.
-  time_point last_heard() const { return this->heard; }
+  time_point last_data_time() const { return this->last_data; }
 
   /// \return Start of the current wait for data: the last data, or the time
   ///     since which data could be read at all.
-  time_point silent_since() const {
-    return std::max(this->heard, this->listened_since);
+  time_point waiting_since() const {
+    return std::max(this->last_data, this->observing_since);
   }
 
   /// \return Prompt tokens of the requests whose responses have not started.
-  int tokens_unread() const { return this->unread_tokens; }
+  int prompt_backlog_tokens() const { return this->backlog_tokens; }
 
   /// \return Number of requests for which data is expected from the server.
-  int awaited() const { return this->begun - this->held_up + this->unbegun; }
+  int awaited_responses() const {
+    return this->started - this->read_paused + this->unstarted;
+  }
 
  private:
   /// \return Time without data after which the responses count as stalled.
-  milliseconds bearable() const;
+  milliseconds stall_timeout() const;
 
-  int begun = 0;
-  int unbegun = 0;
-  int held_up = 0;
-  int unread_tokens = 0;
-  time_point heard;
+  int started = 0;
+  int unstarted = 0;
+  int read_paused = 0;
+  int backlog_tokens = 0;
+  time_point last_data;
   /// No data could be read before this time: no request was in flight, or
   /// reading was paused.
-  time_point listened_since;
-  spread_estimate pauses;
-  spread_estimate first_pieces;
+  time_point observing_since;
+  timeout_estimator data_gaps;
+  timeout_estimator first_byte_times;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ANSWER_PULSE_HPP
+#endif  // BORAGEHILL_DECIDE_RESPONSE_PROGRESS_HPP
--- /dev/null
+++ b/src/decide/response_time_estimate.cpp
@@ -0,0 +1,43 @@
+#include "decide/response_time_estimate.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <utility>
+
+namespace boragehill::decide {
+
+void response_time_estimate::on_response(int most_tokens, milliseconds streamed,
+                                         time_point now) {
+  if (most_tokens <= 0) return;
+  this->advance_window(now);
+  const ms_per_token seen = static_cast<double>(streamed.count()) /
+                            std::max(most_tokens, min_counted_tokens);
+  this->current_slowest = std::max(this->current_slowest, seen);
+}
+
+void response_time_estimate::advance_window(time_point now) {
+  if (!this->window_start || now >= *this->window_start + 2 * window) {
+    this->previous_slowest = 0;
+    this->current_slowest = 0;
+    this->window_start = now;
+  } else if (now >= *this->window_start + window) {
+    this->previous_slowest = std::exchange(this->current_slowest, 0);
+    this->window_start = *this->window_start + window;
+  }
+}
+
+milliseconds response_time_estimate::max_response_time(int tokens,
+                                                       time_point now) const {
+  ms_per_token each = default_time_per_token;
+  if (this->window_start && now < *this->window_start + 2 * window) {
+    const ms_per_token seen =
+        std::max(this->current_slowest, this->previous_slowest);
+    each = std::max(each, seen * headroom);
+  }
+  const double ms = each * std::max(tokens, 0);
+  const auto most = static_cast<double>(max_generation_time.count());
+  return base_time +
+         milliseconds(static_cast<std::int64_t>(std::min(ms, most)));
+}
+
+}  // namespace boragehill::decide
--- a/src/decide/answer_pace.hpp
+++ b/src/decide/response_time_estimate.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_ANSWER_PACE_HPP
-#define BORAGEHILL_DECIDE_ANSWER_PACE_HPP
+#ifndef BORAGEHILL_DECIDE_RESPONSE_TIME_ESTIMATE_HPP
+#define BORAGEHILL_DECIDE_RESPONSE_TIME_ESTIMATE_HPP
 
 #include <optional>
 
@@ -12,45 +12,45 @@
 ///
 /// Workers slow down as they fill, so a fixed time per token that holds at one
 /// load would cut responses off at another.
-class answer_pace {
+class response_time_estimate {
  public:
   /// Time to the first token of a generation, or the whole time of a plain
   /// call.
-  static constexpr milliseconds start_needs{1000};
+  static constexpr milliseconds base_time{1000};
 
   /// Records a response that was forwarded completely.
   /// \param most_tokens The maximum number of tokens that was requested.
   /// \param streamed Time from its first byte to its end.
-  void on_answer(int most_tokens, milliseconds streamed, time_point now);
+  void on_response(int most_tokens, milliseconds streamed, time_point now);
 
   /// \param tokens Length of the response; 0 for a plain call.
   /// \return Upper estimate of the time from sending the request to the end of
   ///     the response.
-  milliseconds most_time(int tokens, time_point now) const;
+  milliseconds max_response_time(int tokens, time_point now) const;
 
  private:
-  using pace = double;
+  using ms_per_token = double;
 
   /// Initial value and lower bound of the estimate.
-  static constexpr pace usual = 9;
+  static constexpr ms_per_token default_time_per_token = 9;
   /// Shorter responses are counted as having this many tokens: a server stall
   /// during a short response says little about long ones.
-  static constexpr int fewest_tokens = 30;
+  static constexpr int min_counted_tokens = 30;
   /// Longer times would overflow clock arithmetic.
-  static constexpr milliseconds longest{3600000};
+  static constexpr milliseconds max_generation_time{3600000};
   /// Workers may fill up further while a response is generated.
   static constexpr double headroom = 1.5;
   /// A slow response counts for the current and the next window.
   static constexpr milliseconds window{10000};
 
   /// Starts a new window if the current one is over.
-  void turn(time_point now);
+  void advance_window(time_point now);
 
-  std::optional<time_point> began;
-  pace slowest = 0;
-  pace slowest_before = 0;
+  std::optional<time_point> window_start;
+  ms_per_token current_slowest = 0;
+  ms_per_token previous_slowest = 0;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_ANSWER_PACE_HPP
+#endif  // BORAGEHILL_DECIDE_RESPONSE_TIME_ESTIMATE_HPP
--- a/src/decide/resting_servers.hpp
+++ b/src/decide/retry_after_servers.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_RESTING_SERVERS_HPP
-#define BORAGEHILL_DECIDE_RESTING_SERVERS_HPP
+#ifndef BORAGEHILL_DECIDE_RETRY_AFTER_SERVERS_HPP
+#define BORAGEHILL_DECIDE_RETRY_AFTER_SERVERS_HPP
 
 #include <map>
 #include <optional>
@@ -14,14 +14,15 @@
 ///
 /// A server that rejects requests looks idle, so it would be preferred to
 /// working servers, and each request sent there would use up retry budget.
-class resting_servers {
+class retry_after_servers {
  public:
   /// Starts the retry-after period of a server, or extends it; a period is
   /// never shortened.
   /// \param server Identifies the incarnation of the server.
   /// \param until End of the period.
   /// \return True if the server was not in a retry-after period.
-  bool on_asked(const std::string& server, time_point until, time_point now);
+  bool on_retry_after(const std::string& server, time_point until,
+                      time_point now);
 
   /// \return End of the server's retry-after period; nothing if it is in none.
   std::optional<time_point> until(const std::string& server,
@@ -29,25 +30,25 @@
 
   /// \return True if no period is stored. Expired periods count until they are
   ///     dropped.
-  bool empty() const { return this->rests.empty(); }
+  bool empty() const { return this->periods.empty(); }
 
   /// Decides whether a server whose responses have stalled may be probed. In a
   /// retry-after period it may still have requests, so one probe is allowed.
   /// \return False if the server has been probed in its current period.
-  bool take_question(const std::string& server, time_point now);
+  bool claim_probe(const std::string& server, time_point now);
 
   /// Removes the expired periods.
   /// \return True if there was one.
-  bool drop_ended(time_point now);
+  bool drop_expired(time_point now);
 
  private:
-  struct rest {
+  struct period {
     time_point end;
-    bool asked = false;
+    bool is_probed = false;
   };
-  std::map<std::string, rest> rests;
+  std::map<std::string, period> periods;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_RESTING_SERVERS_HPP
+#endif  // BORAGEHILL_DECIDE_RETRY_AFTER_SERVERS_HPP
--- a/src/decide/retry_budget.hpp
+++ b/src/decide/retry_token_bucket.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_RETRY_BUDGET_HPP
-#define BORAGEHILL_DECIDE_RETRY_BUDGET_HPP
+#ifndef BORAGEHILL_DECIDE_RETRY_TOKEN_BUCKET_HPP
+#define BORAGEHILL_DECIDE_RETRY_TOKEN_BUCKET_HPP
 
 namespace boragehill::decide {
 
@@ -8,11 +8,11 @@
 ///
 /// Without it, a fault that fails every attempt multiplies the load when there
 /// is least capacity.
-class retry_budget {
+class retry_token_bucket {
  public:
   /// \param share Tokens that each first attempt adds, such as 0.1.
   /// \param burst Capacity of the bucket in tokens; it starts full.
-  retry_budget(double share, double burst);
+  retry_token_bucket(double tokens_per_attempt, double max_tokens);
 
   /// Adds the tokens of one first attempt.
   void on_first_attempt();
@@ -26,11 +26,11 @@
   double tokens() const;
 
  private:
-  double share;
-  double burst;
-  double left;
+  double tokens_per_attempt;
+  double max_tokens;
+  double tokens_left;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_RETRY_BUDGET_HPP
+#endif  // BORAGEHILL_DECIDE_RETRY_TOKEN_BUCKET_HPP
--- a/src/decide/revision_view.cpp
+++ b/src/decide/revision_view.cpp
@@ -11,23 +11,24 @@
   // Catalogs arrive out of order from the table and from peers. A slow read
   // that ends after a newer catalog was applied must not bring back a profile
   // that an operator replaced.
-  if (this->has_catalog && revision <= this->in_force) return false;
-  this->in_force = revision;
+  if (this->has_catalog && revision <= this->revision_in_force) return false;
+  this->revision_in_force = revision;
   this->has_catalog = true;
   return true;
 }
 
 bool revision_view::on_table_read(std::uint64_t revision, time_point began) {
-  if (!this->has_catalog || revision > this->in_force) return true;
+  if (!this->has_catalog || revision > this->revision_in_force) return true;
   this->confirm(began);
   return false;
 }
 
-bool revision_view::on_peer_answer(const std::string& peer,
-                                   const peer_revision& answer,
-                                   time_point began) {
-  this->note(peer, {began, answer});
-  if (!this->has_catalog || answer.revision > this->in_force) return true;
+bool revision_view::on_peer_response(const std::string& peer,
+                                     const peer_revision& answer,
+                                     time_point began) {
+  this->record_peer_state(peer, {began, answer});
+  if (!this->has_catalog || answer.revision > this->revision_in_force)
+    return true;
   if (!answer.confirmed_age) return false;
   // The peer responded after `began`, so its confirmation is no older than
   // `began - age`. A negative age would date it after this router's heartbeat.
@@ -36,8 +37,9 @@
   return false;
 }
 
-void revision_view::on_peer_silent(const std::string& peer, time_point began) {
-  this->note(peer, {began, std::nullopt});
+void revision_view::on_peer_unresponsive(const std::string& peer,
+                                         time_point began) {
+  this->record_peer_state(peer, {began, std::nullopt});
 }
 
 void revision_view::on_tick(time_point now) {
@@ -50,19 +52,20 @@
   if (!this->has_catalog) return revision_readiness::no_catalog;
   // A request may arrive before the first tick after a pause.
   if (this->is_paused(now)) return revision_readiness::paused;
-  const time_point oldest = now - this->settings.confirm_within;
+  const time_point oldest = now - this->settings.max_confirmation_age;
   const time_point needed = std::max(oldest, this->valid_from);
   if (this->confirmed_at && *this->confirmed_at >= needed) {
     return revision_readiness::ready;
   }
-  if (this->table_seems_down(peers, now)) return revision_readiness::ready;
+  if (this->is_table_presumed_down(peers, now))
+    return revision_readiness::ready;
   const bool is_stale = this->confirmed_at && *this->confirmed_at >= oldest;
   return is_stale ? revision_readiness::paused
                   : revision_readiness::unconfirmed;
 }
 
 std::uint64_t revision_view::revision() const {
-  return this->in_force;
+  return this->revision_in_force;
 }
 
 std::optional<milliseconds> revision_view::confirmed_age(time_point now) const {
@@ -72,20 +75,21 @@
 }
 
 bool revision_view::is_paused(time_point now) const {
-  return now - this->last_tick > this->settings.pause_limit;
+  return now - this->last_tick > this->settings.pause_threshold;
 }
 
 void revision_view::confirm(time_point at) {
   if (!this->confirmed_at || at > *this->confirmed_at) this->confirmed_at = at;
 }
 
-void revision_view::note(const std::string& peer, const peer_state& seen) {
+void revision_view::record_peer_state(const std::string& peer,
+                                      const peer_state& seen) {
   peer_state& known = this->peer_states[peer];
-  if (known.began <= seen.began) known = seen;
+  if (known.asked_at <= seen.asked_at) known = seen;
 }
 
-bool revision_view::table_seems_down(const std::vector<std::string>& peers,
-                                     time_point now) const {
+bool revision_view::is_table_presumed_down(
+    const std::vector<std::string>& peers, time_point now) const {
   std::size_t asked = 0;
   std::size_t asked_lately = 0;
   std::size_t alike = 0;
@@ -93,16 +97,16 @@
     const peer_state* known = this->recent_state(peer, now);
     if (known == nullptr) continue;
     asked += 1;
-    const auto ago = now - known->began;
-    if (ago <= this->settings.peer_asked_within) asked_lately += 1;
-    if (!known->answer) continue;
-    if (!this->is_alike(*known, now)) return false;
+    const auto ago = now - known->asked_at;
+    if (ago <= this->settings.peer_query_window) asked_lately += 1;
+    if (!known->response) continue;
+    if (!this->is_also_unconfirmed(*known, now)) return false;
     alike += 1;
   }
-  const auto enough = std::min(peers.size(), this->settings.peers_asked);
+  const auto enough = std::min(peers.size(), this->settings.min_peers_asked);
   if (asked_lately < enough) return false;
   const double needed =
-      this->settings.answering_share * static_cast<double>(asked);
+      this->settings.min_response_share * static_cast<double>(asked);
   return static_cast<double>(alike) >= needed;
 }
 
@@ -110,23 +114,24 @@
     const std::string& peer, time_point now) const {
   const auto found = this->peer_states.find(peer);
   if (found == this->peer_states.end()) return nullptr;
-  const time_point began = found->second.began;
+  const time_point began = found->second.asked_at;
   if (began < this->valid_from) return nullptr;
-  if (now - began > this->settings.peer_answer_within) return nullptr;
+  if (now - began > this->settings.peer_response_window) return nullptr;
   return &found->second;
 }
 
 /// Returns whether a peer that responded has neither a newer revision nor a
 /// recent confirmation of its own.
-bool revision_view::is_alike(const peer_state& known, time_point now) const {
-  const peer_revision& answer = *known.answer;
-  if (answer.revision > this->in_force) return false;
+bool revision_view::is_also_unconfirmed(const peer_state& known,
+                                        time_point now) const {
+  const peer_revision& answer = *known.response;
+  if (answer.revision > this->revision_in_force) return false;
   if (!answer.confirmed_age) return true;
   // The age has grown since the response. Without adding that time, all routers
   // would become unready for one heartbeat interval when their last
   // confirmations before an outage of the table expire together.
-  const auto age = *answer.confirmed_age + (now - known.began);
-  return age > this->settings.confirm_within;
+  const auto age = *answer.confirmed_age + (now - known.asked_at);
+  return age > this->settings.max_confirmation_age;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/revision_view.hpp
+++ b/src/decide/revision_view.hpp
@@ -9,7 +9,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/revision_view_state.hpp"
+#include "decide/revision_view_types.hpp"
 
 namespace boragehill::decide {
 
@@ -46,13 +46,13 @@
   /// \param began When this router sent the heartbeat.
   /// \return True if the peer's revision is newer and its catalog must be
   ///   fetched.
-  bool on_peer_answer(const std::string& peer, const peer_revision& answer,
-                      time_point began);
+  bool on_peer_response(const std::string& peer, const peer_revision& answer,
+                        time_point began);
 
   /// Records that a peer did not respond to a heartbeat.
   ///
   /// \param began When this router sent the heartbeat.
-  void on_peer_silent(const std::string& peer, time_point began);
+  void on_peer_unresponsive(const std::string& peer, time_point began);
 
   /// Records that the process is running; call it at a short, regular interval.
   /// A gap between calls is taken as a pause of the process.
@@ -79,21 +79,21 @@
 
  private:
   struct peer_state {
-    time_point began;
+    time_point asked_at;
     /// Nothing if the peer did not respond.
-    std::optional<peer_revision> answer;
+    std::optional<peer_revision> response;
   };
 
   bool is_paused(time_point now) const;
   void confirm(time_point at);
-  bool table_seems_down(const std::vector<std::string>& peers,
-                        time_point now) const;
-  void note(const std::string& peer, const peer_state& seen);
+  bool is_table_presumed_down(const std::vector<std::string>& peers,
+                              time_point now) const;
+  void record_peer_state(const std::string& peer, const peer_state& seen);
   const peer_state* recent_state(const std::string& peer, time_point now) const;
-  bool is_alike(const peer_state& known, time_point now) const;
+  bool is_also_unconfirmed(const peer_state& known, time_point now) const;
 
   revision_view_settings settings;
-  std::uint64_t in_force = 0;
+  std::uint64_t revision_in_force = 0;
   bool has_catalog = false;
   std::optional<time_point> confirmed_at;
   time_point last_tick;
--- a/src/decide/revision_view_state.hpp
+++ b/src/decide/revision_view_types.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_REVISION_VIEW_STATE_HPP
-#define BORAGEHILL_DECIDE_REVISION_VIEW_STATE_HPP
+#ifndef BORAGEHILL_DECIDE_REVISION_VIEW_TYPES_HPP
+#define BORAGEHILL_DECIDE_REVISION_VIEW_TYPES_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -12,21 +12,21 @@
 /// Settings of `revision_view`.
 struct revision_view_settings {
   /// Maximum age of a confirmation with which requests are admitted.
-  milliseconds confirm_within{10000};
+  milliseconds max_confirmation_age{10000};
   /// A longer gap between two ticks is taken as a pause of the process.
-  milliseconds pause_limit{3000};
+  milliseconds pause_threshold{3000};
   /// Number of peers (all, if there are fewer) that must have been sent a
   /// heartbeat within `peer_query_window` before the table is presumed down.
-  std::size_t peers_asked = 3;
-  milliseconds peer_asked_within{3000};
+  std::size_t min_peers_asked = 3;
+  milliseconds peer_query_window{3000};
   /// Maximum age of a peer's response. Routers send heartbeats to a few peers
   /// at a time, so this spans many rounds.
-  milliseconds peer_answer_within{10000};
+  milliseconds peer_response_window{10000};
   /// Fraction of the peers asked within `peer_response_window` that must have
   /// responded. Below 1, so that a failed peer still listed does not make the
   /// others unready; above 0.5, so that a router partitioned off with half of
   /// the fleet becomes unready.
-  double answering_share = 0.75;
+  double min_response_share = 0.75;
 
   bool operator==(const revision_view_settings&) const = default;
 };
@@ -54,4 +54,4 @@
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_REVISION_VIEW_STATE_HPP
+#endif  // BORAGEHILL_DECIDE_REVISION_VIEW_TYPES_HPP
--- a/src/decide/running_mean.hpp
+++ b/src/decide/running_mean.hpp
@@ -12,20 +12,20 @@
 
   void add(milliseconds measured) {
     constexpr int weight_of_old = 7;
-    this->mean = this->seen ? (this->mean * weight_of_old + measured) /
-                                  (weight_of_old + 1)
-                            : measured;
-    this->seen = true;
+    this->mean = this->has_sample ? (this->mean * weight_of_old + measured) /
+                                        (weight_of_old + 1)
+                                  : measured;
+    this->has_sample = true;
   }
 
   /// \return False while the value is still the initial guess.
-  bool measured() const { return this->seen; }
+  bool has_measurement() const { return this->has_sample; }
 
   milliseconds value() const { return this->mean; }
 
  private:
   milliseconds mean;
-  bool seen = false;
+  bool has_sample = false;
 };
 
 }  // namespace boragehill::decide
--- a/src/decide/server_candidate.hpp
+++ b/src/decide/server_candidate.hpp
@@ -10,13 +10,13 @@
   /// Number of the other routers' requests at the server, as last reported.
   int other_requests = 0;
   /// Prompt tokens of this router's requests whose responses have not started.
-  int unread_tokens = 0;
+  int prompt_backlog_tokens = 0;
   /// Number of requests that the server runs concurrently.
   int slots = 1;
   /// The server is in the router's failure domain.
-  bool near = false;
+  bool local = false;
   /// The server failed recently; it is used only if no other has capacity.
-  bool suspect = false;
+  bool suspected = false;
 
   bool operator==(const server_candidate&) const = default;
 };
--- a/src/decide/server_choice.cpp
+++ b/src/decide/server_choice.cpp
@@ -6,25 +6,26 @@
 
 /// Processing this many prompt tokens takes a worker about 50 ms, in which all
 /// its streams pause; it counts like all its slots being taken.
-constexpr double tokens_like_full = 2000;
+constexpr double tokens_per_full_load = 2000;
 /// Sending a request to another failure domain costs about as much as this
 /// fraction of a server's slots being taken.
-constexpr double distance_cost = 0.03;
+constexpr double cross_domain_cost = 0.03;
 /// Above the cost of any load, so that a suspected server is chosen only if all
 /// others are full.
-constexpr double suspect_cost = 1000;
+constexpr double suspected_cost = 1000;
 
 double cost_of(const server_candidate& each) {
   const double taken = each.own_requests + each.other_requests;
-  double cost = taken / each.slots + each.unread_tokens / tokens_like_full;
-  if (!each.near) cost += distance_cost;
-  if (each.suspect) cost += suspect_cost;
+  double cost =
+      taken / each.slots + each.prompt_backlog_tokens / tokens_per_full_load;
+  if (!each.local) cost += cross_domain_cost;
+  if (each.suspected) cost += suspected_cost;
   return cost;
 }
 
 bool is_full(const server_candidate& each, double queue_share,
              int most_unread) {
-  if (each.unread_tokens > most_unread) return true;
+  if (each.prompt_backlog_tokens > most_unread) return true;
   const double room = each.slots * (1 + queue_share);
   return each.own_requests + each.other_requests >= room;
 }
--- a/src/decide/stop_gate.hpp
+++ b/src/decide/shutdown_gate.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_STOP_GATE_HPP
-#define BORAGEHILL_DECIDE_STOP_GATE_HPP
+#ifndef BORAGEHILL_DECIDE_SHUTDOWN_GATE_HPP
+#define BORAGEHILL_DECIDE_SHUTDOWN_GATE_HPP
 
 #include <optional>
 
@@ -17,33 +17,33 @@
 /// rejected, since during a quick succession of router shutdowns the caller
 /// would reach only other routers that shut down. Time spent waiting for a
 /// server counts too, so the decision is repeated until the request is sent.
-class stop_gate {
+class shutdown_gate {
  public:
   /// Time until the load balancer stops sending callers here. It checks the
   /// process once a second and removes it after two failures; the rest is
   /// network delay.
-  static constexpr milliseconds balancer_notices{2900};
+  static constexpr milliseconds balancer_removal_time{2900};
 
   /// Starts the shutdown.
   /// \param until When the process ends.
-  void close(time_point now, time_point until);
+  void begin_shutdown(time_point now, time_point until);
 
   /// Rejects all requests from now on. Called when no request is open and the
   /// process is about to end, so that none is accepted at the last moment and
   /// cut off.
-  void shut() { this->shut_for_good = true; }
+  void reject_all() { this->is_rejecting_all = true; }
 
   /// \param needs Time from sending the request to the end of its response.
   /// \param start Earliest time at which a server receives the request.
   /// \return True if the request must be rejected.
-  bool refuses(milliseconds needs, time_point start) const;
+  bool rejects(milliseconds needs, time_point start) const;
 
  private:
-  std::optional<time_point> began;
-  time_point end;
-  bool shut_for_good = false;
+  std::optional<time_point> shutdown_start;
+  time_point shutdown_end;
+  bool is_rejecting_all = false;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_STOP_GATE_HPP
+#endif  // BORAGEHILL_DECIDE_SHUTDOWN_GATE_HPP
--- /dev/null
+++ b/src/decide/stall_detector.cpp
@@ -0,0 +1,56 @@
+#include "decide/stall_detector.hpp"
+
+#include <algorithm>
+
+namespace boragehill::decide {
+
+namespace {
+
+/// A live server answers a probe within some milliseconds.
+constexpr milliseconds probe_timeout{150};
+constexpr milliseconds probe_interval{200};
+/// Time that a server has after a successful probe to make progress again.
+constexpr milliseconds grace_period{300};
+/// A server that answers probes but no requests is probed at growing intervals,
+/// up to 200 ms * 2^4, so that it is in use for a tenth of the time.
+constexpr int max_doublings = 4;
+
+}  // namespace
+
+stall_detector::transition stall_detector::update(time_point now) {
+  if (this->suspected_since) {
+    if (this->progress.last_data_time() <= *this->suspected_since)
+      return transition::none;
+    this->probes_without_progress = 0;
+    this->clear_suspicion();
+    return transition::recovered;
+  }
+  if (now < this->trusted_until || !this->progress.is_stalled(now)) {
+    return transition::none;
+  }
+  this->suspected_since = now;
+  this->next_probe = now;
+  if (this->probes_without_progress > 0) {
+    const int doublings =
+        std::min(this->probes_without_progress - 1, max_doublings);
+    this->next_probe += probe_interval * (1 << doublings);
+  }
+  return transition::suspected;
+}
+
+bool stall_detector::is_confirmed(time_point now) const {
+  return this->suspected_since && now - *this->suspected_since >= probe_timeout;
+}
+
+bool stall_detector::on_probe_ended(bool answered, time_point now) {
+  this->probe_in_flight = false;
+  this->next_probe = now + probe_interval;
+  this->probe_failed = !answered && this->suspected_since;
+  if (!answered || !this->suspected_since) return false;
+  ++this->probes_without_progress;
+  this->trusted_until = now + grace_period;
+  this->clear_suspicion();
+  return true;
+}
+
+}  // namespace boragehill::decide
--- a/src/decide/silence_watch.hpp
+++ b/src/decide/stall_detector.hpp
@@ -1,11 +1,11 @@
-#ifndef BORAGEHILL_DECIDE_SILENCE_WATCH_HPP
-#define BORAGEHILL_DECIDE_SILENCE_WATCH_HPP
+#ifndef BORAGEHILL_DECIDE_STALL_DETECTOR_HPP
+#define BORAGEHILL_DECIDE_STALL_DETECTOR_HPP
 
 #include <optional>
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/answer_pulse.hpp"
+#include "decide/response_progress.hpp"
 
 namespace boragehill::decide {
 
@@ -16,68 +16,71 @@
 /// the requests of the last tenths of a second for nobody. The suspicion is
 /// checked by a probe to the server: a false one, of a worker that processes a
 /// long prompt, is cleared by the probe's response within milliseconds.
-class silence_watch {
+class stall_detector {
  public:
   /// Change of state by `update`.
-  enum class news { none, doubted, heard };
+  enum class transition { none, suspected, recovered };
 
-  answer_pulse& answers() { return this->pulse; }
-  const answer_pulse& answers() const { return this->pulse; }
+  response_progress& responses() { return this->progress; }
+  const response_progress& responses() const { return this->progress; }
 
   /// Re-evaluates the suspicion from the progress of the responses.
-  news judge(time_point now);
+  transition update(time_point now);
 
-  bool doubted() const { return this->since.has_value(); }
+  bool is_suspected() const { return this->suspected_since.has_value(); }
 
   /// \return True if the suspicion has lasted long enough to be reported to
   ///     other processes.
-  bool confirmed(time_point now) const;
+  bool is_confirmed(time_point now) const;
 
   /// \return True if the server is suspected and the last probe failed.
-  bool unanswering() const { return this->doubted() && this->question_failed; }
+  bool is_unresponsive() const {
+    return this->is_suspected() && this->probe_failed;
+  }
 
   /// \return True if a probe should be sent now.
-  bool question_due(time_point now) const {
-    return this->doubted() && !this->asking && now >= this->next_question;
+  bool is_probe_due(time_point now) const {
+    return this->is_suspected() && !this->probe_in_flight &&
+           now >= this->next_probe;
   }
 
-  void on_asked() { this->asking = true; }
+  void on_probe_sent() { this->probe_in_flight = true; }
 
   /// Records the result of a probe.
   /// \param answered True for a response with any status; false for a timeout.
   /// \return True if this cleared a suspicion.
-  bool on_question_ended(bool answered, time_point now);
+  bool on_probe_ended(bool answered, time_point now);
 
   /// Excludes a pause of the router itself: data that the server sent meanwhile
   /// may not have been read yet.
   /// \param until End of the pause.
-  void excuse(time_point until) {
-    this->pulse.excuse(until);
-    this->question_failed = false;
+  void ignore_local_pause(time_point until) {
+    this->progress.ignore_local_pause(until);
+    this->probe_failed = false;
   }
 
   /// Drops a probe without a result, because its response may have been missed.
-  void on_question_missed() { this->asking = false; }
+  void on_probe_discarded() { this->probe_in_flight = false; }
 
  private:
-  void end_doubt() {
-    this->since.reset();
-    this->question_failed = false;
+  void clear_suspicion() {
+    this->suspected_since.reset();
+    this->probe_failed = false;
   }
 
-  answer_pulse pulse;
-  std::optional<time_point> since;
-  bool asking = false;
+  response_progress progress;
+  std::optional<time_point> suspected_since;
+  bool probe_in_flight = false;
   /// The last probe during the current suspicion failed.
-  bool question_failed = false;
-  time_point next_question;
+  bool probe_failed = false;
+  time_point next_probe;
   /// Successful probes since the last data of a response: the server is alive
   /// but does not respond to requests.
-  int hollow_answers = 0;
+  int probes_without_progress = 0;
   /// No new suspicion is raised before this time.
   time_point trusted_until;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_SILENCE_WATCH_HPP
+#endif  // BORAGEHILL_DECIDE_STALL_DETECTOR_HPP
--- a/src/decide/silent_wait.hpp
+++ b/src/decide/stalled_request.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_SILENT_WAIT_HPP
-#define BORAGEHILL_DECIDE_SILENT_WAIT_HPP
+#ifndef BORAGEHILL_DECIDE_STALLED_REQUEST_HPP
+#define BORAGEHILL_DECIDE_STALLED_REQUEST_HPP
 
 #include <boragehill/time_point.hpp>
 
@@ -7,21 +7,21 @@
 
 /// A request at a backend server whose responses have stalled and which did not
 /// answer a probe.
-struct silent_wait {
+struct stalled_request {
   /// Time since the last data from the server.
-  milliseconds silent{0};
+  milliseconds stalled_for{0};
   /// Time until the caller gives up or the final response is due.
   milliseconds remaining{0};
   /// Part of the response has arrived.
-  bool begun = false;
+  bool response_started = false;
   /// The request may run twice, and another server can take it now.
   bool movable = false;
 
-  bool operator==(const silent_wait&) const = default;
+  bool operator==(const stalled_request&) const = default;
 };
 
 /// What to do with a stalled request.
-enum class silent_wait_step {
+enum class stalled_request_action {
   /// Keep waiting: the server may resume.
   wait,
   /// Send it to the other server.
@@ -36,8 +36,8 @@
 /// exceeds the caller's remaining time, the request is given up, while the
 /// caller still has time to act on the response. A response that has started is
 /// never given up because of a stall.
-silent_wait_step judge_silent_wait(const silent_wait& request);
+stalled_request_action decide_stalled_request(const stalled_request& request);
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_SILENT_WAIT_HPP
+#endif  // BORAGEHILL_DECIDE_STALLED_REQUEST_HPP
--- a/src/decide/store_pace.hpp
+++ b/src/decide/store_concurrency_limit.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_STORE_PACE_HPP
-#define BORAGEHILL_DECIDE_STORE_PACE_HPP
+#ifndef BORAGEHILL_DECIDE_STORE_CONCURRENCY_LIMIT_HPP
+#define BORAGEHILL_DECIDE_STORE_CONCURRENCY_LIMIT_HPP
 
 #include <boragehill/time_point.hpp>
 
@@ -17,45 +17,45 @@
 /// So the limit follows the measured load times. A load that was on time while
 /// all slots were in use raises the limit by one; a slow load lowers it to what
 /// the store serves.
-class store_pace {
+class store_concurrency_limit {
  public:
   /// A load that takes longer than its nominal time by this factor was slowed
   /// down by others. Loads that overlap only partly are slowed down by less and
   /// are not conclusive.
-  static constexpr double slow = 1.2;
+  static constexpr double slowdown_threshold = 1.2;
   /// All slots count as used if the mean number of concurrent loads is below
   /// the limit by at most this.
-  static constexpr double nearly = 0.25;
+  static constexpr double occupancy_tolerance = 0.25;
   /// A limit that was found too high is not tried again for this long: each try
   /// costs the loads that take part in it up to twice their time.
-  static constexpr milliseconds remember{60000};
+  static constexpr milliseconds raise_retry_interval{60000};
 
   /// \param first Limit until load times have been measured.
-  explicit store_pace(int first) : places(first) {}
+  explicit store_concurrency_limit(int first) : current_limit(first) {}
 
   /// A load finished, or has been running for longer than it should.
   /// \param usual Its time when nothing else is loading.
   /// \param took Its time so far.
   /// \param at_once Mean number of loads running during it, itself included.
-  void on_load(milliseconds usual, milliseconds took, double at_once,
-               time_point now);
+  void on_load_finished(milliseconds usual, milliseconds took, double at_once,
+                        time_point now);
 
   /// A load is still running past its due time.
   /// \param so_far Time since it started.
-  void on_overdue(milliseconds usual, milliseconds so_far, double at_once,
-                  time_point now);
+  void on_load_overdue(milliseconds usual, milliseconds so_far, double at_once,
+                       time_point now);
 
   /// \return Number of loads that may run concurrently; at least one.
-  int at_once() const { return this->places; }
+  int limit() const { return this->current_limit; }
 
  private:
-  int places;
+  int current_limit;
   /// The smallest number of loads at which the store was last found too slow;
   /// zero if it never was.
-  int too_many = 0;
-  time_point found_slow;
+  int slow_limit = 0;
+  time_point slow_limit_found_at;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_STORE_PACE_HPP
+#endif  // BORAGEHILL_DECIDE_STORE_CONCURRENCY_LIMIT_HPP
--- a/src/decide/store_pacing.cpp
+++ b/src/decide/store_load_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "decide/store_pacing.hpp"
+#include "decide/store_load_scheduler.hpp"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 /// Weight of the latest load in the moving average of load times.
 constexpr double newest_weight = 0.2;
 
-bool needs_slot(const paced_load& load) {
+bool needs_slot(const queued_load& load) {
   return load.tier == checkpoint_tier::remote;
 }
 
@@ -19,31 +19,32 @@
 
 }  // namespace
 
-store_pacing::store_pacing(store_pacing_settings settings)
-    : settings(settings), measured(settings.load_time) {}
+store_load_scheduler::store_load_scheduler(
+    store_load_scheduler_settings settings)
+    : settings(settings), mean_load_time(settings.initial_load_time) {}
 
-bool store_pacing::ask(const paced_load& load) {
+bool store_load_scheduler::enqueue(const queued_load& load) {
   const load_key key{load.server, load.model};
   if (this->slots.contains(key)) return true;
   const auto found = this->queue.find(key);
   if (found != this->queue.end()) {
-    paced_load merged = load;
+    queued_load merged = load;
     merged.deadline = std::min(load.deadline, found->second.deadline);
     found->second = merged;
     return true;
   }
-  if (this->queue.size() >= this->settings.capacity) return false;
+  if (this->queue.size() >= this->settings.max_waiting) return false;
   this->queue.emplace(key, load);
   return true;
 }
 
-std::vector<paced_load> store_pacing::start(time_point now) {
-  this->take_back_lost_slots(now);
-  std::vector<paced_load> started;
-  for (paced_load& load : this->ordered(now)) {
+std::vector<queued_load> store_load_scheduler::start_ready(time_point now) {
+  this->release_expired_slots(now);
+  std::vector<queued_load> started;
+  for (queued_load& load : this->sorted_queue(now)) {
     const load_key key{load.server, load.model};
     if (needs_slot(load)) {
-      if (this->slots.size() >= this->settings.parallel) continue;
+      if (this->slots.size() >= this->settings.max_parallel) continue;
       this->slots.emplace(key, now);
     }
     this->queue.erase(key);
@@ -52,64 +53,65 @@
   return started;
 }
 
-void store_pacing::finish(const std::string& server, const std::string& model,
-                          milliseconds took) {
+void store_load_scheduler::finish(const std::string& server,
+                                  const std::string& model, milliseconds took) {
   const load_key key{server, model};
   this->queue.erase(key);
   const bool held_slot = this->slots.erase(key) > 0;
   if (!held_slot || took <= milliseconds{0}) return;
-  const double mean = static_cast<double>(this->measured.count());
+  const double mean = static_cast<double>(this->mean_load_time.count());
   const double newest = static_cast<double>(took.count());
   const double next = mean + newest_weight * (newest - mean);
-  this->measured = milliseconds{static_cast<std::int64_t>(next)};
+  this->mean_load_time = milliseconds{static_cast<std::int64_t>(next)};
 }
 
-milliseconds store_pacing::expected_wait(time_point deadline,
-                                         time_point now) const {
-  const paced_load asked{.deadline = deadline};
+milliseconds store_load_scheduler::expected_wait(time_point deadline,
+                                                 time_point now) const {
+  const queued_load asked{.deadline = deadline};
   std::size_t ahead = 0;
   for (const auto& [key, load] : this->queue) {
     if (needs_slot(load) && load.deadline <= asked.deadline) ahead += 1;
   }
   std::vector<milliseconds> left;
   for (const auto& [key, began] : this->slots) {
-    left.push_back(this->measured - to_milliseconds(now - began));
+    left.push_back(this->mean_load_time - to_milliseconds(now - began));
   }
-  return expected_start(ahead, std::move(left), this->settings.parallel,
-                        this->measured);
+  return expected_start(ahead, std::move(left), this->settings.max_parallel,
+                        this->mean_load_time);
 }
 
-milliseconds store_pacing::load_time() const {
-  return this->measured;
+milliseconds store_load_scheduler::load_time() const {
+  return this->mean_load_time;
 }
 
-std::size_t store_pacing::waiting() const {
+std::size_t store_load_scheduler::waiting() const {
   return this->queue.size();
 }
 
-std::size_t store_pacing::running() const {
+std::size_t store_load_scheduler::running() const {
   return this->slots.size();
 }
 
-void store_pacing::take_back_lost_slots(time_point now) {
+void store_load_scheduler::release_expired_slots(time_point now) {
   // An agent that crashes during a load never reports its end. Without the
   // time-out its slot would stay taken, and after a few crashes no remote load
   // could start. The time-out is longer than any normal load; if a slow load
   // exceeds it, one more load shares the store's bandwidth.
   std::erase_if(this->slots, [&](const auto& slot) {
-    return now - slot.second > this->settings.slot_limit;
+    return now - slot.second > this->settings.slot_timeout;
   });
 }
 
-std::vector<paced_load> store_pacing::ordered(time_point now) const {
-  std::vector<paced_load> loads;
+std::vector<queued_load> store_load_scheduler::sorted_queue(
+    time_point now) const {
+  std::vector<queued_load> loads;
   loads.reserve(this->queue.size());
   for (const auto& [key, load] : this->queue) loads.push_back(load);
-  const time_point earliest_end = now + this->measured;
-  const auto is_late = [&](const paced_load& load) {
+  const time_point earliest_end = now + this->mean_load_time;
+  const auto is_late = [&](const queued_load& load) {
     return needs_slot(load) && load.deadline < earliest_end;
   };
-  std::ranges::stable_sort(loads, std::less{}, [&](const paced_load& load) {
+  std::ranges::stable_sort(loads, std::less{}, [&](const queued_load& load) {
     return std::pair{is_late(load), load.deadline};
   });
   return loads;
--- a/src/decide/store_pacing.hpp
+++ b/src/decide/store_load_scheduler.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_STORE_PACING_HPP
-#define BORAGEHILL_DECIDE_STORE_PACING_HPP
+#ifndef BORAGEHILL_DECIDE_STORE_LOAD_SCHEDULER_HPP
+#define BORAGEHILL_DECIDE_STORE_LOAD_SCHEDULER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/store_pacing_load.hpp"
+#include "decide/queued_load.hpp"
 
 namespace boragehill::decide {
 
@@ -19,19 +19,19 @@
 ///
 /// Loads that can still meet their deadline start first, then the others, both
 /// by earliest deadline. Loads from memory or disk need no slot.
-class store_pacing {
+class store_load_scheduler {
  public:
-  explicit store_pacing(store_pacing_settings settings);
+  explicit store_load_scheduler(store_load_scheduler_settings settings);
 
   /// Queues a load. If the same server and model are queued already, the
   /// earlier of the two deadlines is kept.
   ///
   /// \return False if the queue is full.
-  bool ask(const paced_load& load);
+  bool enqueue(const queued_load& load);
 
   /// Removes from the queue the loads that may start now and returns them in
   /// order of precedence. Each remote load takes a slot.
-  std::vector<paced_load> start(time_point now);
+  std::vector<queued_load> start_ready(time_point now);
 
   /// Frees the slot of a load that completed or failed, or removes the load
   /// from the queue.
@@ -57,12 +57,12 @@
  private:
   using load_key = std::pair<std::string, std::string>;
 
-  void take_back_lost_slots(time_point now);
-  std::vector<paced_load> ordered(time_point now) const;
+  void release_expired_slots(time_point now);
+  std::vector<queued_load> sorted_queue(time_point now) const;
 
-  store_pacing_settings settings;
-  milliseconds measured;
-  std::map<load_key, paced_load> queue;
+  store_load_scheduler_settings settings;
+  milliseconds mean_load_time;
+  std::map<load_key, queued_load> queue;
   std::map<load_key, time_point> slots;
 };
 
@@ -78,4 +78,4 @@
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_STORE_PACING_HPP
+#endif  // BORAGEHILL_DECIDE_STORE_LOAD_SCHEDULER_HPP
--- a/src/decide/spread_estimate.hpp
+++ b/src/decide/timeout_estimator.hpp
@@ -1,5 +1,5 @@
-#ifndef BORAGEHILL_DECIDE_SPREAD_ESTIMATE_HPP
-#define BORAGEHILL_DECIDE_SPREAD_ESTIMATE_HPP
+#ifndef BORAGEHILL_DECIDE_TIMEOUT_ESTIMATOR_HPP
+#define BORAGEHILL_DECIDE_TIMEOUT_ESTIMATOR_HPP
 
 #include <cmath>
 
@@ -9,36 +9,36 @@
 
 /// Running mean and mean deviation of durations, as in TCP's retransmission
 /// timeout (RFC 6298).
-class spread_estimate {
+class timeout_estimator {
  public:
   void add(milliseconds measured) {
     const auto value = static_cast<double>(measured.count());
-    if (!this->seen) {
-      this->seen = true;
+    if (!this->has_sample) {
+      this->has_sample = true;
       this->mean = value;
-      this->spread = value / 2;
+      this->deviation = value / 2;
       return;
     }
     constexpr double weight_of_spread = 0.25;
     constexpr double weight_of_mean = 0.125;
-    this->spread +=
-        weight_of_spread * (std::abs(value - this->mean) - this->spread);
+    this->deviation +=
+        weight_of_spread * (std::abs(value - this->mean) - this->deviation);
     this->mean += weight_of_mean * (value - this->mean);
   }
 
   /// \return Duration that few samples exceed: the mean plus four deviations;
   ///     0 without samples.
-  milliseconds nearly_all() const {
+  milliseconds upper_bound() const {
     constexpr double spreads = 4;
-    return milliseconds(std::llround(this->mean + spreads * this->spread));
+    return milliseconds(std::llround(this->mean + spreads * this->deviation));
   }
 
  private:
-  bool seen = false;
+  bool has_sample = false;
   double mean = 0;
-  double spread = 0;
+  double deviation = 0;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_SPREAD_ESTIMATE_HPP
+#endif  // BORAGEHILL_DECIDE_TIMEOUT_ESTIMATOR_HPP
--- a/src/decide/wait_limit.hpp
+++ b/src/decide/wait_limit.hpp
@@ -5,7 +5,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/wait_case.hpp"
+#include "decide/wait_state.hpp"
 
 namespace boragehill::decide {
 
@@ -15,7 +15,7 @@
 /// Callers of streams give up after two seconds without an event, four times
 /// the first-event objective or eight times the objective between events,
 /// whichever is longest; other callers wait until their deadline.
-milliseconds patience_of(const wait_case& waiting);
+milliseconds caller_timeout(const wait_state& waiting);
 
 /// Decides whether a waiting request should be rejected now.
 ///
@@ -25,7 +25,7 @@
 /// they are served on their retry.
 /// \return Time after which the caller should retry; nothing if the request
 ///     should keep waiting.
-std::optional<milliseconds> refuse_waiting_now(const wait_case& waiting);
+std::optional<milliseconds> retry_after_if_rejected(const wait_state& waiting);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/waiting_request.hpp
+++ b/src/decide/waiting_request.hpp
@@ -11,11 +11,11 @@
 
 /// A request in a home's queue.
 struct waiting_request {
-  wire::permit_request ask;
+  wire::permit_request request;
   time_point deadline;
   time_point queued_at;
   /// Order of arrival at this home; breaks ties.
-  std::uint64_t order = 0;
+  std::uint64_t sequence = 0;
 
   bool operator==(const waiting_request&) const = default;
 };
@@ -24,10 +24,10 @@
 struct by_deadline {
   bool operator()(const waiting_request& a, const waiting_request& b) const {
     if (a.deadline != b.deadline) return a.deadline < b.deadline;
-    if (a.ask.priority != b.ask.priority) {
-      return a.ask.priority > b.ask.priority;
+    if (a.request.priority != b.request.priority) {
+      return a.request.priority > b.request.priority;
     }
-    return a.order < b.order;
+    return a.sequence < b.sequence;
   }
 };
 
--- a/src/decide/send_budget.hpp
+++ b/src/decide/windowed_retry_budget.hpp
@@ -1,11 +1,11 @@
-#ifndef BORAGEHILL_DECIDE_SEND_BUDGET_HPP
-#define BORAGEHILL_DECIDE_SEND_BUDGET_HPP
+#ifndef BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_HPP
+#define BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_HPP
 
 #include <deque>
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/send_budget_settings.hpp"
+#include "decide/windowed_retry_budget_settings.hpp"
 
 namespace boragehill::decide {
 
@@ -17,12 +17,12 @@
 /// proportional part follows a router's own traffic, the constant part is
 /// divided by the number of routers, and only `used_fraction` of the sum is
 /// used, since the windows of the routers aren't aligned.
-class send_budget {
+class windowed_retry_budget {
  public:
   /// The fraction of the bound that is used.
-  static constexpr double margin = 0.8;
+  static constexpr double used_fraction = 0.8;
 
-  explicit send_budget(const send_budget_settings& settings)
+  explicit windowed_retry_budget(const windowed_retry_budget_settings& settings)
       : settings(settings) {}
 
   /// Counts one request of a caller.
@@ -31,19 +31,19 @@
   /// Takes one retry, an attempt after a request's first.
   /// \param routers The number of routers that share the bound.
   /// \return False if the share is exhausted: the request must not be retried.
-  bool take(time_point now, int routers);
+  bool take_retry(time_point now, int routers);
 
   /// \return The number of retries that could be taken now.
-  double left(time_point now, int routers);
+  double retries_left(time_point now, int routers);
 
  private:
-  void forget_old(time_point now);
+  void drop_expired(time_point now);
 
-  send_budget_settings settings;
+  windowed_retry_budget_settings settings;
   std::deque<time_point> requests;
-  std::deque<time_point> repeats;
+  std::deque<time_point> retries;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_SEND_BUDGET_HPP
+#endif  // BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_HPP
--- a/src/decide/send_budget_settings.hpp
+++ b/src/decide/windowed_retry_budget_settings.hpp
@@ -1,22 +1,22 @@
-#ifndef BORAGEHILL_DECIDE_SEND_BUDGET_SETTINGS_HPP
-#define BORAGEHILL_DECIDE_SEND_BUDGET_SETTINGS_HPP
+#ifndef BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_SETTINGS_HPP
+#define BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_SETTINGS_HPP
 
 #include <boragehill/time_point.hpp>
 
 namespace boragehill::decide {
 
 /// Bounds of the retries that a service may get, see `windowed_retry_budget`.
-struct send_budget_settings {
+struct windowed_retry_budget_settings {
   /// Retries allowed per request, over all routers.
-  double ratio = 0.2;
+  double retries_per_request = 0.2;
   /// Additional retries allowed per window, over all routers.
-  double extra = 50;
+  double constant_retries = 50;
   /// Length of the sliding window.
   milliseconds window{10000};
 
-  bool operator==(const send_budget_settings&) const = default;
+  bool operator==(const windowed_retry_budget_settings&) const = default;
 };
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_DECIDE_SEND_BUDGET_SETTINGS_HPP
+#endif  // BORAGEHILL_DECIDE_WINDOWED_RETRY_BUDGET_SETTINGS_HPP
--- a/src/decide/worker_orders.hpp
+++ b/src/decide/worker_orders.hpp
@@ -27,13 +27,13 @@
  public:
   /// Delay after an order without a response before another one with the same
   /// sequence number is issued.
-  static constexpr milliseconds unknown_wait{60};
+  static constexpr milliseconds unknown_response_delay{60};
   /// Delay after a rejected order, until the view that it was based on has been
   /// corrected.
-  static constexpr milliseconds refused_wait{100};
+  static constexpr milliseconds refusal_delay{100};
   /// Time after which an order without a response is no longer executed. Orders
   /// were seen executed up to 12 s late.
-  static constexpr milliseconds late_limit{13000};
+  static constexpr milliseconds max_order_delay{13000};
 
   worker_orders(std::string holder, std::string worker_service);
 
@@ -55,51 +55,51 @@
   /// \return The order to send now, if any; it counts as sent.
   std::optional<fleet::worker_order> next(time_point now);
 
-  void on_answer(const fleet::worker_order& order, fleet::order_answer answer,
-                 time_point now);
+  void on_response(const fleet::worker_order& order, fleet::order_answer answer,
+                   time_point now);
 
   /// \return The model that is being loaded, or empty.
   const std::string& loading() const { return this->loading_model; }
   /// \return True if an order or a load is in progress.
-  bool busy() const {
-    return this->given || !this->loading_model.empty() ||
+  bool is_busy() const {
+    return this->is_order_in_flight || !this->loading_model.empty() ||
            (this->report && this->report->busy);
   }
 
  private:
   /// A load order without a response, which may still be executed.
-  struct late_order {
+  struct delayed_order {
     std::string model;
-    bool adapter = false;
+    bool is_adapter = false;
     time_point until;
   };
 
-  void on_new_lifetime(time_point now);
-  void remember_late(const fleet::worker_order& order, time_point now);
-  fleet::service room_beside_late_orders(time_point now) const;
+  void on_new_incarnation(time_point now);
+  void remember_unanswered(const fleet::worker_order& order, time_point now);
+  fleet::service available_capacity(time_point now) const;
 
   std::string holder;
   std::string service_name;
   std::int64_t fence = 0;
   std::optional<fleet::service> service;
   std::string server;
-  std::int64_t server_born = 0;
+  std::int64_t target_incarnation = 0;
   residency_target target;
   /// Start time and sequence number of the worker as of the last report, kept
   /// when `report` is discarded.
-  std::int64_t known_born = 0;
+  std::int64_t known_incarnation = 0;
   std::int64_t known_sequence = 0;
   /// The last order sent, until its response.
-  std::optional<fleet::worker_order> unanswered;
+  std::optional<fleet::worker_order> unanswered_order;
   /// Orders without a response: of the worker's current incarnation, and of
   /// earlier ones.
-  std::vector<late_order> doubtful;
-  std::vector<late_order> late;
+  std::vector<delayed_order> unconfirmed_orders;
+  std::vector<delayed_order> orphaned_orders;
   std::optional<fleet::worker_report> report;
   std::string loading_model;
   /// Sequence number of the worker after the accepted load order.
-  std::int64_t loading_sequence = 0;
-  bool given = false;
+  std::int64_t loaded_sequence = 0;
+  bool is_order_in_flight = false;
   time_point not_before;
 };
 
--- a/src/router/attempt_call.cpp
+++ b/src/router/attempt_call.cpp
@@ -123,12 +123,13 @@
     const auto error = sent.error();
     const bool never_connected = error == httplib::Error::Connection ||
                                  error == httplib::Error::ConnectionTimeout;
-    this->outcome.ending = never_connected ? decide::attempt_ending::never_sent
-                                           : decide::attempt_ending::broken;
+    this->outcome.ending = never_connected
+                               ? decide::attempt_ending::not_sent
+                               : decide::attempt_ending::interrupted;
     this->outcome.code = never_connected ? result_code::peer_unreachable
                                          : result_code::outcome_unknown;
     if (this->cancelled && !never_connected) {
-      this->outcome.ending = decide::attempt_ending::caller_gone;
+      this->outcome.ending = decide::attempt_ending::caller_disconnected;
     }
   }
 }
@@ -143,8 +144,8 @@
     // between two pieces looks like an answer that ended there.
     this->complete = true;
     const bool whole = this->digest.matches(*end);
-    this->outcome.ending =
-        whole ? decide::attempt_ending::whole : decide::attempt_ending::broken;
+    this->outcome.ending = whole ? decide::attempt_ending::complete
+                                 : decide::attempt_ending::interrupted;
     this->outcome.code = whole ? result_code::ok : result_code::answer_broken;
     return true;
   }
@@ -152,9 +153,9 @@
     this->complete = true;
     const bool not_run = failure->ran == ran_state::no;
     this->outcome.ending = not_run ? decide::attempt_ending::refused
-                                   : decide::attempt_ending::broken;
+                                   : decide::attempt_ending::interrupted;
     this->outcome.code = failure->code;
-    this->outcome.crashed = failure->code == result_code::engine_crashed;
+    this->outcome.server_crashed = failure->code == result_code::engine_crashed;
     return true;
   }
   return this->ring.push_until(std::move(frame), this->give_up_at);
--- a/src/router/attempt_follower.cpp
+++ b/src/router/attempt_follower.cpp
@@ -44,7 +44,7 @@
   while (true) {
     const time_point now = time_point::clock::now();
     if (now >= this->request.deadline) {
-      return this->abandon(decide::attempt_ending::broken,
+      return this->abandon(decide::attempt_ending::interrupted,
                            result_code::deadline_passed);
     }
     const auto frame =
@@ -57,24 +57,25 @@
     if (call.ended()) return this->end_of(call);
     // A non-idempotent run goes on: its answer is kept for the resend.
     if (!this->request.non_idempotent && this->caller.gone()) {
-      return this->abandon(decide::attempt_ending::caller_gone,
+      return this->abandon(decide::attempt_ending::caller_disconnected,
                            result_code::caller_gone);
     }
     if (this->seems_frozen(now)) {
-      return decide::attempt_result{.ending = decide::attempt_ending::broken,
-                                    .code = result_code::outcome_unknown};
+      return decide::attempt_result{
+          .ending = decide::attempt_ending::interrupted,
+          .code = result_code::outcome_unknown};
     }
   }
 }
 
 decide::attempt_result attempt_follower::end_of(const attempt_call& call) {
   auto result = call.result();
-  const bool cut = result.ending == decide::attempt_ending::broken &&
+  const bool cut = result.ending == decide::attempt_ending::interrupted &&
                    result.code == result_code::outcome_unknown;
   // The whole VM went down with the request in flight.
   const bool in_time = time_point::clock::now() + this->parts.call_timeout <=
                        this->request.deadline;
-  if (cut && in_time && !this->agent_answers()) result.crashed = true;
+  if (cut && in_time && !this->agent_answers()) result.server_crashed = true;
   return result;
 }
 
--- a/src/router/caller_listener.cpp
+++ b/src/router/caller_listener.cpp
@@ -254,7 +254,7 @@
         const auto result = answer->pump([&](std::string_view bytes) {
           return sink.write(bytes.data(), bytes.size());
         });
-        if (result.ending == decide::attempt_ending::whole) {
+        if (result.ending == decide::attempt_ending::complete) {
           sink.done();
           return true;
         }
--- a/src/router/fleet.cpp
+++ b/src/router/fleet.cpp
@@ -12,7 +12,7 @@
 
 void fleet::on_list(const std::vector<vm_info>& vms, time_point now) {
   const std::lock_guard lock(this->mutex);
-  this->members.on_list(vms, now);
+  this->members.on_vm_list(vms, now);
   if (!vms.empty()) this->last_list = vms;
 }
 
@@ -28,12 +28,12 @@
 
 void fleet::on_call_answered(const std::string& id) {
   const std::lock_guard lock(this->mutex);
-  this->members.on_call_answered(id);
+  this->members.on_call_succeeded(id);
 }
 
 void fleet::on_leaving(const std::string& id) {
   const std::lock_guard lock(this->mutex);
-  this->members.on_leaving(id);
+  this->members.on_draining(id);
 }
 
 std::vector<vm_info> fleet::homes(const std::string& target, std::size_t count,
@@ -42,12 +42,12 @@
   auto routers = this->members.live_routers(this->own.region, now);
   const auto is_self = [&](const vm_info& vm) { return vm.id == this->own.id; };
   std::erase_if(routers, is_self);
-  if (!this->members.is_leaving(this->own.id)) routers.push_back(this->own);
+  if (!this->members.is_draining(this->own.id)) routers.push_back(this->own);
   std::vector<std::string> ids;
   ids.reserve(routers.size());
   for (const auto& vm : routers) ids.push_back(vm.id);
   std::vector<vm_info> ordered;
-  for (const auto& id : decide::home_order(target, std::move(ids), count)) {
+  for (const auto& id : decide::rank_homes(target, std::move(ids), count)) {
     ordered.push_back(
         *std::find_if(routers.begin(), routers.end(),
                       [&](const vm_info& vm) { return vm.id == id; }));
@@ -90,7 +90,7 @@
 
 bool fleet::is_gone(const std::string& id, time_point now) {
   const std::lock_guard lock(this->mutex);
-  return this->members.is_gone(id, now);
+  return this->members.is_removed(id, now);
 }
 
 bool fleet::is_suspected(const std::string& id, time_point now) const {
@@ -100,7 +100,7 @@
 
 bool fleet::is_leaving(const std::string& id) const {
   const std::lock_guard lock(this->mutex);
-  return this->members.is_leaving(id);
+  return this->members.is_draining(id);
 }
 
 }  // namespace boragehill::router
--- a/src/router/home_duty.cpp
+++ b/src/router/home_duty.cpp
@@ -14,8 +14,8 @@
 }  // namespace
 
 home_duty::home_duty(decide::home_settings settings,
-                     decide::strike_settings strikes, std::size_t capacity,
-                     home_outbox& destination)
+                     decide::crash_attribution_settings strikes,
+                     std::size_t capacity, home_outbox& destination)
     : decisions(settings, strikes),
       outbox(destination),
       worker(
@@ -74,7 +74,7 @@
 }
 
 void home_duty::handle(permit_message& message, time_point now) {
-  message.answer.set_value(this->decisions.request(message.ask, now));
+  message.answer.set_value(this->decisions.request_permit(message.ask, now));
 }
 
 void home_duty::handle(renewal_message& message, time_point now) {
@@ -83,7 +83,8 @@
 }
 
 void home_duty::handle(done_message& message, time_point now) {
-  for (const auto& end : message.done.ends) this->decisions.on_done(end, now);
+  for (const auto& end : message.done.ends)
+    this->decisions.on_attempt_end(end, now);
 }
 
 void home_duty::handle(withdraw_message& message, time_point now) {
@@ -96,14 +97,14 @@
 
 void home_duty::handle(wake_message& message, time_point now) {
   if (message.answer) {
-    this->decisions.on_wake_answer(message.wake, *message.answer, now);
+    this->decisions.on_load_response(message.wake, *message.answer, now);
     return;
   }
-  this->decisions.on_wake_lost(message.wake, now);
+  this->decisions.on_load_order_lost(message.wake, now);
 }
 
 void home_duty::handle(paced_message& message, time_point now) {
-  this->decisions.on_wake_paced(message.wake, message.wait, now);
+  this->decisions.on_load_deferred(message.wake, message.wait, now);
 }
 
 void home_duty::handle(servers_message& message, time_point now) {
@@ -112,14 +113,14 @@
 
 void home_duty::handle(server_trouble_message& message, time_point now) {
   if (message.leaving) {
-    this->decisions.on_leaving(message.server);
+    this->decisions.on_draining(message.server);
     return;
   }
   this->decisions.on_suspected(message.server, now);
 }
 
 void home_duty::handle(entry_gone_message& message, time_point now) {
-  this->decisions.on_entry_gone(message.entry, now);
+  this->decisions.on_entry_lost(message.entry, now);
 }
 
 void home_duty::handle(catalog_message& message, time_point now) {
@@ -127,7 +128,7 @@
 }
 
 void home_duty::handle(conviction_message& message, time_point now) {
-  this->decisions.on_conviction(message.fingerprint, now);
+  this->decisions.on_quarantine(message.fingerprint, now);
 }
 
 void home_duty::handle(question_message& message, time_point now) {
--- a/src/router/home_duty.hpp
+++ b/src/router/home_duty.hpp
@@ -23,8 +23,9 @@
   /// \param strikes The limits of the strikes.
   /// \param capacity The most messages waiting.
   /// \param outbox Must outlive the duty.
-  home_duty(decide::home_settings settings, decide::strike_settings strikes,
-            std::size_t capacity, home_outbox& outbox);
+  home_duty(decide::home_settings settings,
+            decide::crash_attribution_settings strikes, std::size_t capacity,
+            home_outbox& outbox);
 
   void start() { this->worker.start(); }
   void stop() { this->worker.stop(); }
--- a/src/router/home_message.hpp
+++ b/src/router/home_message.hpp
@@ -55,13 +55,13 @@
 
 /// An agent's answer to a wake; nothing if it was not reached.
 struct wake_message {
-  decide::order_wake wake;
+  decide::order_load wake;
   std::optional<wire::wake_answer> answer;
 };
 
 /// A wake that the weight store's pacing keeps waiting.
 struct paced_message {
-  decide::order_wake wake;
+  decide::order_load wake;
   milliseconds wait;
 };
 
--- a/src/router/home_outbox.hpp
+++ b/src/router/home_outbox.hpp
@@ -11,11 +11,11 @@
  public:
   virtual ~home_outbox() = default;
 
-  virtual void carry_out(const decide::tell_entry& action) = 0;
-  virtual void carry_out(const decide::order_wake& action) = 0;
-  virtual void carry_out(const decide::want_grants& action) = 0;
-  virtual void carry_out(const decide::share_conviction& action) = 0;
-  virtual void carry_out(const decide::load_ended& action) = 0;
+  virtual void carry_out(const decide::notify_entry& action) = 0;
+  virtual void carry_out(const decide::order_load& action) = 0;
+  virtual void carry_out(const decide::request_grants& action) = 0;
+  virtual void carry_out(const decide::share_quarantine& action) = 0;
+  virtual void carry_out(const decide::report_load_end& action) = 0;
 };
 
 }  // namespace boragehill::router
--- a/src/router/live_answer.cpp
+++ b/src/router/live_answer.cpp
@@ -24,7 +24,7 @@
 live_answer::~live_answer() {
   if (this->ended) return;
   this->call->cancel();
-  this->finish({.ending = decide::attempt_ending::caller_gone,
+  this->finish({.ending = decide::attempt_ending::caller_disconnected,
                 .code = result_code::caller_gone});
 }
 
@@ -37,10 +37,10 @@
     const auto* piece = std::get_if<wire::frame_piece>(&*frame);
     if (piece == nullptr || write(piece->bytes)) continue;
     this->call->cancel();
-    this->finish({.ending = decide::attempt_ending::caller_gone,
+    this->finish({.ending = decide::attempt_ending::caller_disconnected,
                   .code = result_code::caller_gone,
-                  .passed_on = true});
-    return {.ending = decide::attempt_ending::caller_gone,
+                  .partly_forwarded = true});
+    return {.ending = decide::attempt_ending::caller_disconnected,
             .code = result_code::caller_gone};
   }
   const auto result = this->call->result();
--- a/src/router/load_pacer.cpp
+++ b/src/router/load_pacer.cpp
@@ -15,10 +15,10 @@
   if (this->started.contains(key)) return {};
   const time_point deadline = now + milliseconds(request.time_left_ms);
   // A full queue lets the load go: pacing is soft and refuses nothing.
-  const bool taken = this->pacing.ask(
+  const bool taken = this->pacing.enqueue(
       {.server = request.server, .model = request.model, .deadline = deadline});
   if (!taken) return {};
-  for (const auto& load : this->pacing.start(now)) {
+  for (const auto& load : this->pacing.start_ready(now)) {
     this->started.emplace(load.server, load.model);
   }
   if (this->started.contains(key)) return {};
--- a/src/router/load_pacer.hpp
+++ b/src/router/load_pacer.hpp
@@ -8,7 +8,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/store_pacing.hpp"
+#include "decide/store_load_scheduler.hpp"
 #include "wire/pace_answer.hpp"
 #include "wire/pace_request.hpp"
 
@@ -23,7 +23,7 @@
 /// loads than run at full speed: that costs time, no promise. Thread safe.
 class load_pacer {
  public:
-  explicit load_pacer(decide::store_pacing_settings settings)
+  explicit load_pacer(decide::store_load_scheduler_settings settings)
       : pacing(settings) {}
 
   /// Answers a home; a request that a load ended frees its slot.
@@ -34,7 +34,7 @@
 
  private:
   mutable std::mutex mutex;
-  decide::store_pacing pacing;
+  decide::store_load_scheduler pacing;
   /// Loads let go whose homes have not heard it yet.
   std::set<std::pair<std::string, std::string>> started;
 };
--- a/src/router/once_desk.cpp
+++ b/src/router/once_desk.cpp
@@ -12,7 +12,7 @@
 #include <boragehill/table_service.hpp>
 #include <boragehill/table_write.hpp>
 
-#include "decide/once_claim.hpp"
+#include "decide/idempotency_claim.hpp"
 #include "kernel/utf8.hpp"
 #include "kernel/wall_clock.hpp"
 #include "router/accepted_request.hpp"
@@ -77,21 +77,22 @@
       return refusal{code_of(row.error()), ran_state::unknown, retry_after,
                      "whether this key ran before can't be read"};
     }
-    std::optional<decide::once_row> standing;
+    std::optional<decide::idempotency_record> standing;
     if (row.value()) {
-      const auto read = wire::from_text<decide::once_row>(row.value()->value);
+      const auto read =
+          wire::from_text<decide::idempotency_record>(row.value()->value);
       if (!read) return unknown("the key's row can't be read");
       standing = read.value();
     }
-    const auto step = decide::judge_resend(standing, request.fingerprint);
-    if (std::holds_alternative<decide::run_it>(step)) {
+    const auto step = decide::evaluate_record(standing, request.fingerprint);
+    if (std::holds_alternative<decide::claim_and_dispatch>(step)) {
       return once_ticket{key, {}};
     }
-    if (std::holds_alternative<decide::refuse_reused>(step)) {
+    if (std::holds_alternative<decide::refuse_key_reuse>(step)) {
       return not_run(result_code::idempotency_key_reused,
                      "the key came with another request before");
     }
-    if (std::holds_alternative<decide::hand_over_result>(step)) {
+    if (std::holds_alternative<decide::return_stored_response>(step)) {
       return this->hand_over(*standing);
     }
     const once_ticket ticket{key, row.value()->etag};
@@ -102,14 +103,15 @@
 }
 
 std::optional<once_desk::lookup> once_desk::follow(
-    const decide::once_row& row, const once_ticket& ticket,
+    const decide::idempotency_record& row, const once_ticket& ticket,
     const accepted_request& request) {
   const auto status =
       this->fate(row.attempt, row.control, row.fence, row.permit_end_ms);
-  const auto step = decide::judge_agent_answer(status);
-  if (std::holds_alternative<decide::wait_for_end>(step)) return std::nullopt;
-  if (std::holds_alternative<decide::reclaim>(step)) return ticket;
-  if (std::holds_alternative<decide::outcome_is_unknown>(step)) {
+  const auto step = decide::evaluate_agent_status(status);
+  if (std::holds_alternative<decide::wait_for_completion>(step))
+    return std::nullopt;
+  if (std::holds_alternative<decide::reassign_claim>(step)) return ticket;
+  if (std::holds_alternative<decide::report_unknown_outcome>(step)) {
     return unknown("an earlier run of this key may have run");
   }
   auto kept = this->fetch_kept(row.attempt, row.data, request.deadline);
@@ -121,10 +123,10 @@
   return *std::move(kept);
 }
 
-once_desk::lookup once_desk::hand_over(const decide::once_row& row) {
-  whole_answer answer{row.status, row.content_type, row.answer};
-  if (row.object.empty()) return answer;
-  const auto object = this->objects.get(row.object);
+once_desk::lookup once_desk::hand_over(const decide::idempotency_record& row) {
+  whole_answer answer{row.http_status, row.content_type, row.response_body};
+  if (row.response_object.empty()) return answer;
+  const auto object = this->objects.get(row.response_object);
   if (!object) {
     return refusal{result_code::platform_down, ran_state::yes, retry_after,
                    "it ran; its answer can't be fetched now"};
@@ -160,7 +162,7 @@
     if (!back) continue;
     if (!back.value()) break;
     const auto standing =
-        wire::from_text<decide::once_row>(back.value()->value);
+        wire::from_text<decide::idempotency_record>(back.value()->value);
     if (!standing) break;
     if (!decide::is_claimed_by(standing.value(), row.attempt)) {
       return result_code::platform_conflict;
@@ -179,20 +181,20 @@
   this->keep(ticket, this->row_of(request, attempt, permit), answer);
 }
 
-void once_desk::keep(const once_ticket& ticket, decide::once_row row,
+void once_desk::keep(const once_ticket& ticket, decide::idempotency_record row,
                      const whole_answer& answer) {
-  row.state = decide::once_state::ended;
-  row.status = answer.status;
+  row.state = decide::idempotency_state::completed;
+  row.http_status = answer.status;
   row.content_type = answer.content_type;
   const bool fits =
       answer.body.size() <= this->inline_bytes && kernel::is_utf8(answer.body);
   if (fits) {
-    row.answer = answer.body;
+    row.response_body = answer.body;
   } else {
-    row.object = "once/" + row.attempt;
+    row.response_object = "once/" + row.attempt;
     bool stored = false;
     for (int i = 0; i < settle_tries && !stored; ++i) {
-      stored = this->objects.put(row.object, answer.body).has_value();
+      stored = this->objects.put(row.response_object, answer.body).has_value();
     }
     if (!stored) return;
   }
@@ -241,10 +243,10 @@
   const std::int64_t oldest = kernel::wall_clock_ms() - retention.count();
   std::size_t removed = 0;
   for (const auto& row : rows.value()) {
-    const auto read = wire::from_text<decide::once_row>(row.value);
+    const auto read = wire::from_text<decide::idempotency_record>(row.value);
     if (!read || read.value().written_at_ms >= oldest) continue;
-    if (!read.value().object.empty()) {
-      (void)this->objects.remove(read.value().object);
+    if (!read.value().response_object.empty()) {
+      (void)this->objects.remove(read.value().response_object);
     }
     const auto written = this->table.transact(
         {{.key = row.key, .etag = row.etag, .value = std::nullopt}});
@@ -253,9 +255,9 @@
   return removed;
 }
 
-decide::once_row once_desk::row_of(const accepted_request& request,
-                                   const attempt_id& attempt,
-                                   const wire::permit_answer& permit) const {
+decide::idempotency_record once_desk::row_of(
+    const accepted_request& request, const attempt_id& attempt,
+    const wire::permit_answer& permit) const {
   return {.digest = request.fingerprint,
           .attempt = attempt.to_string(),
           .server = permit.server,
@@ -263,7 +265,7 @@
           .data = permit.data,
           .fence = permit.fence,
           .permit_end_ms = permit.permit_end_ms,
-          .state = decide::once_state::claimed,
+          .state = decide::idempotency_state::claimed,
           .written_at_ms = kernel::wall_clock_ms()};
 }
 
--- a/src/router/once_desk.hpp
+++ b/src/router/once_desk.hpp
@@ -10,7 +10,7 @@
 #include <boragehill/result.hpp>
 #include <boragehill/time_point.hpp>
 
-#include "decide/once_claim_row.hpp"
+#include "decide/idempotency_record.hpp"
 #include "router/whole_answer.hpp"
 #include "wire/attempt_status.hpp"
 #include "wire/permit_answer.hpp"
@@ -89,15 +89,15 @@
                     milliseconds retention);
 
  private:
-  std::optional<lookup> follow(const decide::once_row& row,
+  std::optional<lookup> follow(const decide::idempotency_record& row,
                                const once_ticket& ticket,
                                const accepted_request& request);
-  lookup hand_over(const decide::once_row& row);
-  void keep(const once_ticket& ticket, decide::once_row row,
+  lookup hand_over(const decide::idempotency_record& row);
+  void keep(const once_ticket& ticket, decide::idempotency_record row,
             const whole_answer& answer);
-  decide::once_row row_of(const accepted_request& request,
-                          const attempt_id& attempt,
-                          const wire::permit_answer& permit) const;
+  decide::idempotency_record row_of(const accepted_request& request,
+                                    const attempt_id& attempt,
+                                    const wire::permit_answer& permit) const;
 
   table_service& table;
   object_store& objects;
--- a/src/router/placement_duty.cpp
+++ b/src/router/placement_duty.cpp
@@ -60,14 +60,14 @@
           },
           [this] { this->poll(); }) {}
 
-void placement_duty::handle(const decide::want_grants& wanted) {
+void placement_duty::handle(const decide::request_grants& wanted) {
   const auto published = this->config.current();
   const auto* spec = published->spec_of(wanted.model);
   if (spec == nullptr || !this->may_place(wanted.model)) return;
   // Grants don't move. Written while only the first server of a fleet that
   // starts had its row, they all stood there, where the models drove each other
   // out while the other servers stood idle.
-  if (wanted.ahead && this->awaits_servers()) {
+  if (wanted.is_proactive && this->awaits_servers()) {
     this->worker.post(wanted);
     return;
   }
@@ -78,7 +78,7 @@
     const auto chosen = this->choose(wanted, *spec, current.value());
     if (chosen.empty()) {
       this->show(current.value());
-      if (current.value().servers.size() < wanted.number) {
+      if (current.value().servers.size() < wanted.count) {
         kernel::log_event(kernel::event::grant_unplaceable,
                           {{"model", wanted.model}, {"reason", wanted.reason}});
       }
@@ -99,7 +99,7 @@
                                                    {"reason", wanted.reason}});
     this->show(written.value());
     this->hint(chosen.front());
-    if (written.value().servers.size() >= wanted.number) return;
+    if (written.value().servers.size() >= wanted.count) return;
     attempt = 0;
   }
 }
@@ -198,24 +198,24 @@
 }
 
 std::vector<std::string> placement_duty::choose(
-    const decide::want_grants& wanted, const decide::model_spec& spec,
+    const decide::request_grants& wanted, const decide::model_spec& spec,
     const placement& current) {
   const time_point now = time_point::clock::now();
   decide::placement_request request{.model = wanted.model,
                                     .bytes = spec.bytes,
-                                    .wanted = spec.replicas,
-                                    .most = wanted.number,
+                                    .wanted_grants = spec.replicas,
+                                    .max_grants = wanted.count,
                                     .pool = {},
-                                    .current = current.servers,
+                                    .granted_servers = current.servers,
                                     .servers = {}};
-  request.wanted = std::max(spec.replicas, wanted.number);
+  request.wanted_grants = std::max(spec.replicas, wanted.count);
   for (const auto& record : this->servers) {
     const auto vm = this->members.find(record.id);
     const bool listed =
         vm.has_value() && !this->members.is_gone(record.id, now);
-    const bool silent =
-        std::find(wanted.not_counted.begin(), wanted.not_counted.end(),
-                  record.id) != wanted.not_counted.end();
+    const bool silent = std::find(wanted.uncounted_servers.begin(),
+                                  wanted.uncounted_servers.end(),
+                                  record.id) != wanted.uncounted_servers.end();
     request.servers.push_back(
         {.id = record.id,
          .failure_domain = record.failure_domain,
@@ -227,7 +227,7 @@
          .draining = !listed || this->members.is_leaving(record.id),
          .suspected = silent || this->members.is_suspected(record.id, now)});
   }
-  return decide::choose_servers(request);
+  return decide::choose_grant_servers(request);
 }
 
 bool placement_duty::refresh_servers(bool force) {
--- a/src/router/placement_duty.hpp
+++ b/src/router/placement_duty.hpp
@@ -56,7 +56,7 @@
   std::uint64_t grants_removed() const { return this->removed; }
 
  private:
-  void handle(const decide::want_grants& wanted);
+  void handle(const decide::request_grants& wanted);
   void handle(const given_up_message& given);
   void handle(const look_message& order);
   bool may_place(const std::string& model) const;
@@ -64,7 +64,7 @@
   void poll_model(const std::string& model, const decide::model_spec* spec);
   void remove_gone_grants(const placement& current);
   void retire_excess(const placement& current, std::uint32_t most);
-  std::vector<std::string> choose(const decide::want_grants& wanted,
+  std::vector<std::string> choose(const decide::request_grants& wanted,
                                   const decide::model_spec& spec,
                                   const placement& current);
   bool refresh_servers(bool force);
--- a/src/router/placement_message.hpp
+++ b/src/router/placement_message.hpp
@@ -21,7 +21,7 @@
 
 /// What the placement duty's ring carries.
 using placement_message =
-    std::variant<decide::want_grants, given_up_message, look_message>;
+    std::variant<decide::request_grants, given_up_message, look_message>;
 
 }  // namespace boragehill::router
 
--- a/src/router/placement_store.cpp
+++ b/src/router/placement_store.cpp
@@ -79,7 +79,8 @@
   const auto before = this->read_both(server, model);
   if (!before) return before.error();
   const rows& now = before.value();
-  const auto change = decide::remove_gone(now.model_row, now.server_row, model);
+  const auto change =
+      decide::remove_grant_of_lost_server(now.model_row, now.server_row, model);
   if (!change) return now.model_row;
   return this->write_both(now, change->model_row, change->server_row);
 }
--- a/src/router/published_config.cpp
+++ b/src/router/published_config.cpp
@@ -30,13 +30,13 @@
                                       const decide::peer_revision& answer,
                                       time_point began) {
   const std::lock_guard lock(this->mutex);
-  return this->view.on_peer_answer(peer, answer, began);
+  return this->view.on_peer_response(peer, answer, began);
 }
 
 void published_config::on_peer_silent(const std::string& peer,
                                       time_point began) {
   const std::lock_guard lock(this->mutex);
-  this->view.on_peer_silent(peer, began);
+  this->view.on_peer_unresponsive(peer, began);
 }
 
 void published_config::on_tick(time_point now) {
--- a/src/router/pulse_duty.cpp
+++ b/src/router/pulse_duty.cpp
@@ -75,7 +75,8 @@
   this->parts.home.post(
       question_message{[&metrics](const decide::home& decisions, time_point) {
         metrics.set_waiting(static_cast<double>(decisions.waiting()));
-        metrics.set_permits_out(static_cast<double>(decisions.permits_out()));
+        metrics.set_permits_out(
+            static_cast<double>(decisions.outstanding_permits()));
       }});
 }
 
--- a/src/router/request_driver.cpp
+++ b/src/router/request_driver.cpp
@@ -38,24 +38,25 @@
           .fingerprint = request.fingerprint,
           .priority = request.priority,
           .non_idempotent = request.non_idempotent,
-          .keyed = request.non_idempotent && !request.idempotency_key.empty(),
+          .has_idempotency_key =
+              request.non_idempotent && !request.idempotency_key.empty(),
           .deadline = request.deadline};
 }
 
 wire::attempt_outcome outcome_of(const decide::attempt_result& result) {
   switch (result.ending) {
-    case decide::attempt_ending::whole:
+    case decide::attempt_ending::complete:
       return wire::attempt_outcome::answered;
     case decide::attempt_ending::refused:
       return wire::attempt_outcome::refused;
-    case decide::attempt_ending::never_sent:
+    case decide::attempt_ending::not_sent:
       return wire::attempt_outcome::lost;
-    case decide::attempt_ending::caller_gone:
+    case decide::attempt_ending::caller_disconnected:
       return wire::attempt_outcome::cancelled;
-    case decide::attempt_ending::broken:
+    case decide::attempt_ending::interrupted:
       break;
   }
-  if (result.crashed) return wire::attempt_outcome::crashed;
+  if (result.server_crashed) return wire::attempt_outcome::crashed;
   if (result.code == result_code::deadline_passed) {
     return wire::attempt_outcome::cancelled;
   }
@@ -83,12 +84,12 @@
   } else {
     parts.done.post(home, end);
   }
-  if (result.ending == decide::attempt_ending::whole) return;
+  if (result.ending == decide::attempt_ending::complete) return;
   kernel::log_event(kernel::event::attempt_refused,
                     {{"attempt", step.attempt.to_string()},
                      {"server", step.permit.server},
                      {"code", make_error_code(result.code)},
-                     {"crashed", result.crashed}});
+                     {"crashed", result.server_crashed}});
 }
 
 }  // namespace
@@ -132,13 +133,14 @@
   return this->conclude(step);
 }
 
-decide::flow_step request_driver::carry_out(const decide::ask_home& step) {
+decide::flow_step request_driver::carry_out(
+    const decide::request_permit& step) {
   const auto chosen = this->pick_home();
   if (!chosen) return this->flow.on_home_lost(time_point::clock::now());
   this->home = *chosen;
-  const std::string& attempt = step.ask.attempt;
+  const std::string& attempt = step.request.attempt;
   this->parts.desk.open(attempt, this->home);
-  const auto reply = this->parts.homes.ask(this->home, step.ask);
+  const auto reply = this->parts.homes.ask(this->home, step.request);
   const time_point now = time_point::clock::now();
   if (!reply) {
     this->parts.desk.close(attempt);
@@ -174,7 +176,7 @@
       [&owner = this->parts, home = this->home, attempt] {
         owner.homes.withdraw(home, attempt);
       });
-  if (this->caller.gone()) return this->flow.on_caller_gone();
+  if (this->caller.gone()) return this->flow.on_caller_disconnected();
   if (now < step.until) this->lost_homes.insert(this->home.id);
   return this->flow.on_home_lost(now);
 }
@@ -188,7 +190,7 @@
     report_end(this->parts, this->home, this->request, unused,
                {.ending = decide::attempt_ending::refused, .code = code});
   }
-  return this->flow.on_claim(code, now);
+  return this->flow.on_claim_written(code, now);
 }
 
 decide::flow_step request_driver::carry_out(const decide::dispatch& step) {
@@ -239,23 +241,26 @@
     next = follower.next(call);
   }
   const auto result = std::get<decide::attempt_result>(next);
-  if (result.ending == decide::attempt_ending::whole) {
+  if (result.ending == decide::attempt_ending::complete) {
     this->answer = collector.so_far();
   }
   return result;
 }
 
-decide::flow_step request_driver::carry_out(const decide::ask_fate& step) {
+decide::flow_step request_driver::carry_out(
+    const decide::query_attempt_status& step) {
   const auto fate =
       this->parts.once.fate(step.attempt.to_string(), step.permit.control,
                             step.permit.fence, step.permit.permit_end_ms);
-  return this->flow.on_fate(fate, time_point::clock::now());
+  return this->flow.on_attempt_status(fate, time_point::clock::now());
 }
 
-decide::flow_step request_driver::carry_out(const decide::fetch_kept& step) {
+decide::flow_step request_driver::carry_out(
+    const decide::fetch_stored_response& step) {
   this->answer = this->parts.once.fetch_kept(
       step.attempt.to_string(), step.permit.data, this->request.deadline);
-  return this->flow.on_kept(this->answer.has_value(), time_point::clock::now());
+  return this->flow.on_stored_response(this->answer.has_value(),
+                                       time_point::clock::now());
 }
 
 decide::flow_step request_driver::carry_out(const decide::pause_until& step) {
@@ -270,7 +275,8 @@
   return step;
 }
 
-decide::flow_step request_driver::carry_out(const decide::give_up& step) {
+decide::flow_step request_driver::carry_out(
+    const decide::refuse_request& step) {
   return step;
 }
 
@@ -300,9 +306,9 @@
     const decide::flow_step& last) {
   if (this->live) return this->live;
   const time_point now = time_point::clock::now();
-  if (const auto* refused = std::get_if<decide::give_up>(&last)) {
-    this->hop.tag("refused", name_of(refused->answer.code));
-    return refused->answer;
+  if (const auto* refused = std::get_if<decide::refuse_request>(&last)) {
+    this->hop.tag("refused", name_of(refused->response.code));
+    return refused->response;
   }
   if (!this->ticket.row_key.empty()) {
     this->parts.once.settle(this->ticket, this->request, this->flow.attempt(),
--- a/src/router/request_driver.hpp
+++ b/src/router/request_driver.hpp
@@ -43,15 +43,15 @@
   /// A frame, or how the attempt ended.
   using received = std::variant<wire::answer_frame, decide::attempt_result>;
 
-  decide::flow_step carry_out(const decide::ask_home& step);
+  decide::flow_step carry_out(const decide::request_permit& step);
   decide::flow_step carry_out(const decide::await_permit& step);
   decide::flow_step carry_out(const decide::write_claim& step);
   decide::flow_step carry_out(const decide::dispatch& step);
-  decide::flow_step carry_out(const decide::ask_fate& step);
-  decide::flow_step carry_out(const decide::fetch_kept& step);
+  decide::flow_step carry_out(const decide::query_attempt_status& step);
+  decide::flow_step carry_out(const decide::fetch_stored_response& step);
   decide::flow_step carry_out(const decide::pause_until& step);
   decide::flow_step carry_out(const decide::delivered& step);
-  decide::flow_step carry_out(const decide::give_up& step);
+  decide::flow_step carry_out(const decide::refuse_request& step);
 
   std::optional<vm_info> pick_home();
   bool becomes_stream(const received& first) const;
--- a/src/router/router_outbox.cpp
+++ b/src/router/router_outbox.cpp
@@ -31,20 +31,20 @@
   this->convictions = &book;
 }
 
-void router_outbox::carry_out(const decide::tell_entry& action) {
+void router_outbox::carry_out(const decide::notify_entry& action) {
   if (action.entry == this->members.self().control) {
-    const bool taken = this->desk.bring(action.answer);
-    if (!taken) this->home->post(withdraw_message{action.answer.attempt});
+    const bool taken = this->desk.bring(action.response);
+    if (!taken) this->home->post(withdraw_message{action.response.attempt});
     return;
   }
   // Lost here, it is told again at the entry's next renewal.
   this->calls.try_post([this, action] {
     const auto told =
         this->rpc.call(action.entry, "entry.permit",
-                       wire::to_json(action.answer), this->call_timeout);
+                       wire::to_json(action.response), this->call_timeout);
     if (told) return;
     if (told.error() == result_code::caller_gone) {
-      this->home->post(withdraw_message{action.answer.attempt});
+      this->home->post(withdraw_message{action.response.attempt});
       return;
     }
     if (told.error() != result_code::peer_unreachable) return;
@@ -53,28 +53,28 @@
   });
 }
 
-void router_outbox::carry_out(const decide::order_wake& action) {
+void router_outbox::carry_out(const decide::order_load& action) {
   const bool posted =
       this->calls.try_post([this, action] { this->wake(action); });
   if (!posted) this->home->post(wake_message{action, std::nullopt});
 }
 
-void router_outbox::carry_out(const decide::want_grants& action) {
+void router_outbox::carry_out(const decide::request_grants& action) {
   this->placement->post(action);
 }
 
-void router_outbox::carry_out(const decide::share_conviction& action) {
+void router_outbox::carry_out(const decide::share_quarantine& action) {
   kernel::log_event(kernel::event::convicted,
                     {{"fingerprint", action.fingerprint}});
   this->convictions->add_own(action.fingerprint, time_point::clock::now());
 }
 
-void router_outbox::carry_out(const decide::load_ended& action) {
+void router_outbox::carry_out(const decide::report_load_end& action) {
   this->calls.try_post([this, action] {
     (void)this->ask_pace({.server = action.server,
                           .model = action.model,
                           .ended = true,
-                          .took_ms = action.took.count()});
+                          .took_ms = action.duration.count()});
   });
 }
 
@@ -94,8 +94,8 @@
   return read ? read.value() : wire::pace_answer{};
 }
 
-void router_outbox::wake(const decide::order_wake& action) {
-  if (action.remote) {
+void router_outbox::wake(const decide::order_load& action) {
+  if (action.from_store) {
     const auto pace =
         this->ask_pace({.server = action.server,
                         .model = action.order.model,
--- a/src/router/router_outbox.hpp
+++ b/src/router/router_outbox.hpp
@@ -38,14 +38,14 @@
   void connect(home_duty& home, placement_duty& placement,
                conviction_book& convictions);
 
-  void carry_out(const decide::tell_entry& action) override;
-  void carry_out(const decide::order_wake& action) override;
-  void carry_out(const decide::want_grants& action) override;
-  void carry_out(const decide::share_conviction& action) override;
-  void carry_out(const decide::load_ended& action) override;
+  void carry_out(const decide::notify_entry& action) override;
+  void carry_out(const decide::order_load& action) override;
+  void carry_out(const decide::request_grants& action) override;
+  void carry_out(const decide::share_quarantine& action) override;
+  void carry_out(const decide::report_load_end& action) override;
 
  private:
-  void wake(const decide::order_wake& action);
+  void wake(const decide::order_load& action);
   wire::pace_answer ask_pace(const wire::pace_request& request);
 
   fleet& members;
--- a/src/router/router_settings.cpp
+++ b/src/router/router_settings.cpp
@@ -85,8 +85,8 @@
       "placement_poll_ms", settings.placement_poll, shortest, hour);
   settings.members.suspect_for = section.duration(
       "suspect_for_ms", settings.members.suspect_for, shortest, hour);
-  settings.members.gone_after = section.duration(
-      "gone_after_ms", settings.members.gone_after, shortest, hour);
+  settings.members.removal_delay = section.duration(
+      "gone_after_ms", settings.members.removal_delay, shortest, hour);
 }
 
 void read_home(settings_section section, router_settings& settings) {
@@ -96,22 +96,22 @@
       read_size(section, "queue_per_target", home.queue_per_target, many);
   home.permit_allowance = section.duration(
       "permit_allowance_ms", home.permit_allowance, shortest, minute);
-  home.report_silence = section.duration("report_silence_ms",
-                                         home.report_silence, shortest, minute);
+  home.report_timeout = section.duration("report_silence_ms",
+                                         home.report_timeout, shortest, minute);
   home.server_cooldown = section.duration(
       "server_cooldown_ms", home.server_cooldown, shortest, minute);
-  home.wake_confirm =
-      section.duration("wake_confirm_ms", home.wake_confirm, shortest, minute);
-  home.load_time[0] =
-      section.duration("load_memory_ms", home.load_time[0], shortest, hour);
-  home.load_time[1] =
-      section.duration("load_disk_ms", home.load_time[1], shortest, hour);
-  home.load_time[2] =
-      section.duration("load_remote_ms", home.load_time[2], shortest, hour);
-  home.run_time =
-      section.duration("run_time_ms", home.run_time, shortest, hour);
-  home.parallel_loads = static_cast<std::uint32_t>(
-      section.number("parallel_loads", home.parallel_loads, 1, 1000));
+  home.load_confirm_timeout = section.duration(
+      "wake_confirm_ms", home.load_confirm_timeout, shortest, minute);
+  home.initial_load_time[0] = section.duration(
+      "load_memory_ms", home.initial_load_time[0], shortest, hour);
+  home.initial_load_time[1] = section.duration(
+      "load_disk_ms", home.initial_load_time[1], shortest, hour);
+  home.initial_load_time[2] = section.duration(
+      "load_remote_ms", home.initial_load_time[2], shortest, hour);
+  home.initial_run_time =
+      section.duration("run_time_ms", home.initial_run_time, shortest, hour);
+  home.max_parallel_loads = static_cast<std::uint32_t>(
+      section.number("parallel_loads", home.max_parallel_loads, 1, 1000));
   home.scale_out_wait = section.duration("scale_out_wait_ms",
                                          home.scale_out_wait, shortest, hour);
 }
@@ -136,13 +136,14 @@
   settings.inline_answer_bytes = read_size(once, "inline_answer_bytes",
                                            settings.inline_answer_bytes, many);
   auto revision = document.section("revision");
-  settings.revision.confirm_within = revision.duration(
-      "confirm_within_ms", settings.revision.confirm_within, shortest, hour);
-  settings.revision.pause_limit = revision.duration(
-      "pause_limit_ms", settings.revision.pause_limit, shortest, hour);
+  settings.revision.max_confirmation_age =
+      revision.duration("confirm_within_ms",
+                        settings.revision.max_confirmation_age, shortest, hour);
+  settings.revision.pause_threshold = revision.duration(
+      "pause_limit_ms", settings.revision.pause_threshold, shortest, hour);
   auto strikes = document.section("strikes");
-  settings.strikes.keep =
-      strikes.duration("keep_ms", settings.strikes.keep, shortest, week);
+  settings.strikes.retention =
+      strikes.duration("keep_ms", settings.strikes.retention, shortest, week);
   settings.strikes.capacity =
       read_size(strikes, "capacity", settings.strikes.capacity, many);
 }
@@ -157,7 +158,7 @@
   read_polls(section, settings);
   read_home(document.section("home"), settings);
   read_flow(document.section("flow"), settings);
-  settings.flow.fate_time = settings.call_timeout;
+  settings.flow.status_query_timeout = settings.call_timeout;
   read_rest(document, settings);
   settings.table = read_service(document, "table");
   settings.objects = read_service(document, "object_store");
--- a/src/router/router_settings.hpp
+++ b/src/router/router_settings.hpp
@@ -7,11 +7,11 @@
 #include <boragehill/endpoint.hpp>
 #include <boragehill/time_point.hpp>
 
+#include "decide/crash_attribution_settings.hpp"
 #include "decide/flow_limits.hpp"
 #include "decide/home_settings.hpp"
 #include "decide/membership_settings.hpp"
-#include "decide/revision_view_state.hpp"
-#include "decide/strike_settings.hpp"
+#include "decide/revision_view_types.hpp"
 #include "router/service_settings.hpp"
 
 namespace boragehill::kernel {
@@ -61,7 +61,7 @@
   std::size_t inline_answer_bytes = 16384;
 
   decide::home_settings home;
-  decide::strike_settings strikes;
+  decide::crash_attribution_settings strikes;
   decide::flow_limits flow;
   decide::membership_settings members;
   decide::revision_view_settings revision;
--- a/src/router/shared_retry_budget.hpp
+++ b/src/router/shared_retry_budget.hpp
@@ -3,7 +3,7 @@
 
 #include <mutex>
 
-#include "decide/retry_budget.hpp"
+#include "decide/retry_token_bucket.hpp"
 
 namespace boragehill::router {
 
@@ -25,7 +25,7 @@
 
  private:
   std::mutex mutex;
-  decide::retry_budget budget;
+  decide::retry_token_bucket budget;
 };
 
 }  // namespace boragehill::router
--- a/src/router/status_report.cpp
+++ b/src/router/status_report.cpp
@@ -92,7 +92,7 @@
       [status](const decide::home& decisions, time_point now) {
         (*status)["waiting"] = static_cast<Json::UInt64>(decisions.waiting());
         (*status)["permits_out"] =
-            static_cast<Json::UInt64>(decisions.permits_out());
+            static_cast<Json::UInt64>(decisions.outstanding_permits());
         (*status)["targets"] = Json::Value(Json::arrayValue);
         for (const auto& [name, target] : decisions.targets()) {
           if (target.servers.empty() && target.queue.empty()) continue;
@@ -121,7 +121,7 @@
         if (known == nullptr) return;
         *found = describe(*known, decisions);
         (*found)["estimate_ms"] = static_cast<Json::Int64>(
-            decisions.estimate(target, {}, now).count());
+            decisions.expected_wait(target, {}, now).count());
         (*found)["notes"] = Json::Value(Json::arrayValue);
         for (const auto& note : known->notes) {
           Json::Value json(Json::objectValue);
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -115,10 +115,10 @@
     this->expected[each.model] = now + each.ready_in;
   }
   // The first update on a link may be a new planner's, who knows of no crash.
-  if (update.whole) this->crashes.tell_again(now);
+  if (update.whole) this->crashes.report_quarantined_again(now);
   for (const auto& each : update.convicted) {
-    if (this->crashes.is_convicted(each, now)) continue;
-    this->crashes.on_convicted(each, now);
+    if (this->crashes.is_quarantined(each, now)) continue;
+    this->crashes.on_quarantined(each, now);
     kernel::log_event(kernel::event::convicted, {{"fingerprint", each}});
   }
   this->metrics.set_planner_term(static_cast<double>(update.term));
@@ -154,7 +154,7 @@
     return refusal{result_code::unknown_model,
                    "no such model in the configuration", next_catalog};
   }
-  if (this->crashes.is_convicted(request.fingerprint(), now)) {
+  if (this->crashes.is_quarantined(request.fingerprint(), now)) {
     // Nothing is said of coming back: it would only be refused again.
     return refusal{result_code::request_convicted,
                    "this request crashes servers", milliseconds(0)};
@@ -167,7 +167,7 @@
   if (barred) {
     return request->refuse(barred->code, barred->reason, barred->retry_after);
   }
-  const bool first = !request->sends().sent();
+  const bool first = !request->sends().was_attempted();
   if (first) {
     this->metrics.on_accepted();
     this->budget_of(request->service()).on_request(request->request().received);
@@ -183,7 +183,7 @@
 
 bool dispatcher::can_take(const server_state& server, const exchange& request,
                           time_point now) const {
-  return this->suits(server, request) && !server.silence.doubted() &&
+  return this->suits(server, request) && !server.silence.is_suspected() &&
          !this->resting.until(server.entry.id, now);
 }
 
@@ -191,7 +191,7 @@
                        const exchange& request) const {
   if (server.entry.service != request.service()) return false;
   if (!this->takes_new(server)) return false;
-  if (request.sends().tried(server.entry.id)) return false;
+  if (request.sends().has_tried(server.entry.id)) return false;
   const auto& asked = request.fields();
   if (asked.model.empty()) return true;
   return server.serves(asked.model, asked.adapter, this->planner_linked);
@@ -200,12 +200,13 @@
 bool dispatcher::may_get_server(const exchange& request) const {
   // Which models a worker will hold changes; that it serves the service and
   // hasn't failed this request doesn't.
-  return std::any_of(
-      this->servers.begin(), this->servers.end(), [&](const auto& each) {
-        const auto& server = each.second;
-        return server.entry.service == request.service() &&
-               this->takes_new(server) && !request.sends().tried(each.first);
-      });
+  return std::any_of(this->servers.begin(), this->servers.end(),
+                     [&](const auto& each) {
+                       const auto& server = each.second;
+                       return server.entry.service == request.service() &&
+                              this->takes_new(server) &&
+                              !request.sends().has_tried(each.first);
+                     });
 }
 
 bool dispatcher::takes_new(const server_state& server) const {
@@ -224,15 +225,16 @@
     candidates.push_back(
         {.own_requests = static_cast<int>(state.requests.size()),
          .other_requests = state.other_requests,
-         .unread_tokens = state.silence.answers().tokens_unread(),
+         .prompt_backlog_tokens =
+             state.silence.responses().prompt_backlog_tokens(),
          .slots = slots > 0 ? slots : assumed_slots,
-         .near = state.entry.failure_domain == this->settings.failure_domain,
-         .suspect =
-             this->health.suspect(id, now) || request.sends().broke_off(id)});
+         .local = state.entry.failure_domain == this->settings.failure_domain,
+         .suspected = this->health.suspect(id, now) ||
+                      request.sends().was_interrupted_by(id)});
     states.push_back(&state);
   }
   const int most_unread =
-      this->settings.unread.of_router(is_late(request, now), this->routers);
+      this->settings.unread.router_limit(is_late(request, now), this->routers);
   const auto chosen =
       decide::choose_server(candidates, this->settings.queue_share, most_unread,
                             kernel::random_bits());
@@ -246,7 +248,7 @@
       this->most_connections(request->service()));
   if (!connection) return false;
   server.requests.emplace(request.get(), request);
-  server.silence.answers().on_sent(request->fields().prompt_tokens, now);
+  server.silence.responses().on_sent(request->fields().prompt_tokens, now);
   ++this->flights[{server.entry.id, request->fields().model,
                    request->fields().adapter}];
   request->send_to(server.entry, connection);
@@ -332,7 +334,7 @@
       continue;
     }
     // One that was refused before may lack a server where others have one.
-    if (!request->sends().sent()) return;
+    if (!request->sends().was_attempted()) return;
     ++each;
   }
 }
@@ -341,11 +343,11 @@
   const auto found = this->servers.find(request.server());
   if (found != this->servers.end()) {
     found->second.requests.erase(&request);
-    auto& answers = found->second.silence.answers();
+    auto& answers = found->second.silence.responses();
     if (request.unanswered()) {
-      answers.on_unbegun_left(request.fields().prompt_tokens);
+      answers.on_unstarted_request_removed(request.fields().prompt_tokens);
     } else {
-      answers.on_begun_left();
+      answers.on_started_request_removed();
     }
   }
   const flight_key key{request.server(), request.fields().model,
@@ -365,7 +367,7 @@
        {"server", request.server()},
        {"reason", reached ? "answer broke off" : "connection failed"}});
   if (!reached) return;
-  this->crashes.on_broken(request.fingerprint(), time_point::clock::now());
+  this->crashes.on_interrupted(request.fingerprint(), time_point::clock::now());
   kernel::log_event(kernel::event::striked,
                     {{"request", request.fields().attempt},
                      {"server", request.server()},
@@ -402,7 +404,7 @@
   const bool other_lifetime =
       !answer.server.empty() && !this->headers.is_server(answer.server, id);
   if (other_lifetime) return;
-  if (answer.leaving && this->leaving.on_told(id)) {
+  if (answer.leaving && this->leaving.add(id)) {
     kernel::log_event(kernel::event::server_leaving,
                       {{"server", id},
                        {"by", "answer"},
@@ -412,7 +414,7 @@
   }
   if (!answer.rest) return;
   const auto now = time_point::clock::now();
-  if (this->resting.on_asked(id, now + *answer.rest, now)) {
+  if (this->resting.on_retry_after(id, now + *answer.rest, now)) {
     kernel::log_event(
         kernel::event::server_rests,
         {{"server", id}, {"request", by}, {"rest_ms", answer.rest->count()}});
@@ -428,18 +430,19 @@
 
 bool dispatcher::take_repeat(const exchange& request) {
   const bool granted = this->budget_of(request.service())
-                           .take(time_point::clock::now(), this->routers);
+                           .take_retry(time_point::clock::now(), this->routers);
   kernel::log_event(kernel::event::retry,
                     {{"request", request.fields().attempt},
                      {"service", request.service()},
                      {"server", request.last_server()},
-                     {"sends", request.sends().send_count()},
+                     {"sends", request.sends().attempt_count()},
                      {"granted", granted}});
   granted ? this->metrics.on_repeat() : this->metrics.on_repeat_denied();
   return granted;
 }
 
-decide::send_budget& dispatcher::budget_of(const std::string& service) {
+decide::windowed_retry_budget& dispatcher::budget_of(
+    const std::string& service) {
   return this->budgets.try_emplace(service, this->settings.budget)
       .first->second;
 }
--- a/src/serve/dispatcher.hpp
+++ b/src/serve/dispatcher.hpp
@@ -14,13 +14,13 @@
 #include <boragehill/result.hpp>
 #include <boragehill/time_point.hpp>
 
-#include "decide/answer_pace.hpp"
-#include "decide/crash_watch.hpp"
+#include "decide/crash_tracker.hpp"
 #include "decide/demand_report.hpp"
-#include "decide/leaving_servers.hpp"
-#include "decide/resting_servers.hpp"
-#include "decide/send_budget.hpp"
-#include "decide/stop_gate.hpp"
+#include "decide/draining_servers.hpp"
+#include "decide/response_time_estimate.hpp"
+#include "decide/retry_after_servers.hpp"
+#include "decide/shutdown_gate.hpp"
+#include "decide/windowed_retry_budget.hpp"
 #include "fleet/catalog.hpp"
 #include "fleet/server_list.hpp"
 #include "http/whole_answer.hpp"
@@ -33,7 +33,7 @@
 #include "wire/view_update.hpp"
 
 namespace boragehill::decide {
-struct wait_case;
+struct wait_state;
 }
 
 namespace boragehill::serve {
@@ -56,7 +56,7 @@
   decide::demand_report take_report();
   /// \return Requests whose runs broke off since the last call.
   std::vector<std::string> take_strikes() {
-    return this->crashes.take_strikes();
+    return this->crashes.take_crash_reports();
   }
   /// Sets what is called when a request begins to wait.
   void on_waiting(std::function<void()> told) { this->waits = std::move(told); }
@@ -155,7 +155,7 @@
   bool suits(const server_state& server, const exchange& request) const;
   /// \return True if the server may get new requests, by all that is known.
   bool takes_new(const server_state& server) const;
-  decide::answer_pulse* pulse_of(const exchange& request);
+  decide::response_progress* pulse_of(const exchange& request);
   void judge_silence(server_state& server, time_point now);
   /// Judges the requests at servers that left a question unanswered.
   void judge_silent_waits(time_point now);
@@ -164,7 +164,7 @@
   /// \return True if it may leave its server, and another one takes it now.
   bool is_movable(const exchange& request, time_point now);
   /// \return The request as the judge of its waiting sees it.
-  decide::wait_case waiting_of(const exchange& request, time_point now) const;
+  decide::wait_state waiting_of(const exchange& request, time_point now) const;
   void ask(server_state& server);
   /// Marks a server as replaced if another lifetime answered.
   /// \return False if one did.
@@ -188,7 +188,7 @@
   /// \param late Only those whose latency objective has passed, or only the
   ///     others.
   void serve_line(waiting_line& line, bool late);
-  decide::send_budget& budget_of(const std::string& service);
+  decide::windowed_retry_budget& budget_of(const std::string& service);
 
   entry_settings settings;
   const fleet::request_codec& headers;
@@ -207,14 +207,14 @@
   /// When models that are asked for will be there, as the planner said.
   std::map<std::string, time_point> expected;
   std::map<flight_key, int> flights;
-  std::map<std::string, decide::send_budget> budgets;
+  std::map<std::string, decide::windowed_retry_budget> budgets;
   std::function<void()> waits;
-  decide::crash_watch crashes;
-  decide::stop_gate gate;
+  decide::crash_tracker crashes;
+  decide::shutdown_gate gate;
   /// By service.
-  std::map<std::string, decide::answer_pace> paces;
-  decide::leaving_servers leaving;
-  decide::resting_servers resting;
+  std::map<std::string, decide::response_time_estimate> paces;
+  decide::draining_servers leaving;
+  decide::retry_after_servers resting;
   bool serving = false;
 };
 
--- a/src/serve/dispatcher_report.cpp
+++ b/src/serve/dispatcher_report.cpp
@@ -16,12 +16,12 @@
   const auto& ended = request.result();
   this->metrics.on_ended(ended.code);
   if (ended.code == result_code::ok) {
-    this->crashes.on_answered(request.fingerprint());
+    this->crashes.on_completed(request.fingerprint());
   }
   const auto now = time_point::clock::now();
-  const bool one_run = request.sends().send_count() == 1;
+  const bool one_run = request.sends().attempt_count() == 1;
   if (ended.code == result_code::ok && one_run && !request.slowed_by_caller()) {
-    this->paces[request.service()].on_answer(
+    this->paces[request.service()].on_response(
         request.fields().output_tokens,
         milliseconds(ms_between(request.answered().value_or(now), now)), now);
   }
@@ -54,7 +54,7 @@
        {"code", static_cast<int>(ended.code)},
        {"reason", ended.reason},
        {"server", request.last_server()},
-       {"sends", request.sends().send_count()},
+       {"sends", request.sends().attempt_count()},
        {"waited_ms", request.first_sent()
                          ? ms_between(received, *request.first_sent())
                          : ms_between(received, now)},
@@ -80,10 +80,10 @@
     auto& demand = demands[key];
     demand.waiting = static_cast<int>(line.size());
     for (const auto& each : line) {
-      demand.oldest =
-          std::max(demand.oldest,
+      demand.oldest_wait =
+          std::max(demand.oldest_wait,
                    milliseconds(ms_between(each->request().received, now)));
-      demand.worth += 1.0 / (1 + each->route()->priority);
+      demand.weight += 1.0 / (1 + each->route()->priority);
     }
   }
   for (auto& [key, demand] : demands) {
@@ -93,11 +93,11 @@
   for (const auto& [key, count] : this->flights) {
     const auto& [server, model, adapter] = key;
     if (!model.empty())
-      report.flights.push_back({server, model, adapter, count});
+      report.in_flight.push_back({server, model, adapter, count});
   }
   for (const auto& [id, state] : this->servers) {
-    if (state.listed && state.silence.confirmed(now)) {
-      report.silent.push_back(id);
+    if (state.listed && state.silence.is_confirmed(now)) {
+      report.unresponsive_servers.push_back(id);
     }
   }
   this->arrivals.clear();
--- a/src/serve/dispatcher_silence.cpp
+++ b/src/serve/dispatcher_silence.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide/silent_wait.hpp"
+#include "decide/stalled_request.hpp"
 #include "decide/wait_limit.hpp"
 #include "fleet/request_codec.hpp"
 #include "http/call_connection.hpp"
@@ -26,15 +26,16 @@
 
 }  // namespace
 
-decide::answer_pulse* dispatcher::pulse_of(const exchange& request) {
+decide::response_progress* dispatcher::pulse_of(const exchange& request) {
   const auto found = this->servers.find(request.server());
   if (found == this->servers.end()) return nullptr;
-  return &found->second.silence.answers();
+  return &found->second.silence.responses();
 }
 
 void dispatcher::on_answering(const exchange& request) {
   if (auto* pulse = this->pulse_of(request)) {
-    pulse->on_begun(request.fields().prompt_tokens, time_point::clock::now());
+    pulse->on_response_started(request.fields().prompt_tokens,
+                               time_point::clock::now());
   }
   // Late ones wait until a prompt was read.
   if (!this->lines.empty()) this->serve_waiting();
@@ -42,17 +43,17 @@
 
 void dispatcher::on_heard(const exchange& request) {
   if (auto* pulse = this->pulse_of(request)) {
-    pulse->on_heard(time_point::clock::now());
+    pulse->on_data(time_point::clock::now());
   }
 }
 
 void dispatcher::on_held_up(const exchange& request) {
-  if (auto* pulse = this->pulse_of(request)) pulse->on_held_up();
+  if (auto* pulse = this->pulse_of(request)) pulse->on_read_paused();
 }
 
 void dispatcher::on_resumed(const exchange& request) {
   if (auto* pulse = this->pulse_of(request)) {
-    pulse->on_resumed(time_point::clock::now());
+    pulse->on_read_resumed(time_point::clock::now());
   }
 }
 
@@ -60,25 +61,25 @@
   const auto found = this->servers.find(request.server());
   if (found == this->servers.end() || !request.unanswered()) return false;
   const auto& silence = found->second.silence;
-  return silence.doubted() &&
-         request.last_sent() + way_there >= silence.answers().last_heard();
+  return silence.is_suspected() && request.last_sent() + way_there >=
+                                       silence.responses().last_data_time();
 }
 
 void dispatcher::excuse_own_pause(time_point now) {
   const auto last = std::exchange(this->silence_watched, now);
   if (now - last < own_pause) return;
-  for (auto& [id, state] : this->servers) state.silence.excuse(now);
+  for (auto& [id, state] : this->servers) state.silence.ignore_local_pause(now);
 }
 
 void dispatcher::watch_silence() {
   const auto now = time_point::clock::now();
   this->excuse_own_pause(now);
   // A server that is heard or has rested may serve those that wait.
-  bool may_serve = this->resting.drop_ended(now);
+  bool may_serve = this->resting.drop_expired(now);
   for (auto& [id, state] : this->servers) {
-    const bool was_doubted = state.silence.doubted();
+    const bool was_doubted = state.silence.is_suspected();
     this->judge_silence(state, now);
-    may_serve = may_serve || (was_doubted && !state.silence.doubted());
+    may_serve = may_serve || (was_doubted && !state.silence.is_suspected());
   }
   if (may_serve) this->serve_waiting();
   this->judge_silent_waits(now);
@@ -88,7 +89,7 @@
   // Requests that move or end change the servers' lists of them.
   std::vector<std::shared_ptr<exchange>> held;
   for (const auto& [id, state] : this->servers) {
-    if (!state.silence.unanswering()) continue;
+    if (!state.silence.is_unresponsive()) continue;
     for (const auto& [key, request] : state.requests) held.push_back(request);
   }
   for (const auto& each : held) this->judge_silent_wait(each, now);
@@ -97,51 +98,52 @@
 bool dispatcher::is_movable(const exchange& request, time_point now) {
   if (!request.may_move() || !this->may_start(request, now)) return false;
   auto& budget = this->budget_of(request.service());
-  return budget.left(now, this->routers) >= 1 &&
+  return budget.retries_left(now, this->routers) >= 1 &&
          this->find_server(request, now);
 }
 
 void dispatcher::judge_silent_wait(const std::shared_ptr<exchange>& request,
                                    time_point now) {
-  using step = decide::silent_wait_step;
+  using step = decide::stalled_request_action;
   const auto found = this->servers.find(request->server());
   if (found == this->servers.end()) return;
   const auto waiting = this->waiting_of(*request, now);
-  const decide::silent_wait silent{
-      .silent = milliseconds(
-          ms_between(found->second.silence.answers().silent_since(), now)),
-      .remaining = decide::patience_of(waiting) - waiting.waited,
-      .begun = request->answered() || !request->unanswered(),
+  const decide::stalled_request silent{
+      .stalled_for = milliseconds(
+          ms_between(found->second.silence.responses().waiting_since(), now)),
+      .remaining = decide::caller_timeout(waiting) - waiting.waited,
+      .response_started = request->answered() || !request->unanswered(),
       .movable = this->is_movable(*request, now)};
-  const auto next = decide::judge_silent_wait(silent);
+  const auto next = decide::decide_stalled_request(silent);
   if (next == step::wait) return;
   if (next == step::move && !this->take_repeat(*request)) return;
   kernel::log_event(kernel::event::silent_server_left,
                     {{"request", request->fields().attempt},
                      {"server", request->server()},
                      {"step", next == step::move ? "move" : "give_up"},
-                     {"silent_ms", silent.silent.count()},
+                     {"silent_ms", silent.stalled_for.count()},
                      {"remaining_ms", silent.remaining.count()},
-                     {"begun", silent.begun}});
+                     {"begun", silent.response_started}});
   next == step::move ? request->move_from_silent()
                      : request->give_up("server is silent");
 }
 
 void dispatcher::judge_silence(server_state& server, time_point now) {
-  using news = decide::silence_watch::news;
-  const auto before = server.silence.answers().silent_since();
-  const auto found = server.silence.judge(now);
-  if (found == news::doubted) {
-    kernel::log_event(kernel::event::server_silent,
-                      {{"server", server.entry.id},
-                       {"silent_ms", ms_between(before, now)},
-                       {"awaited", server.silence.answers().awaited()}});
-  } else if (found == news::heard) {
+  using news = decide::stall_detector::transition;
+  const auto before = server.silence.responses().waiting_since();
+  const auto found = server.silence.update(now);
+  if (found == news::suspected) {
+    kernel::log_event(
+        kernel::event::server_silent,
+        {{"server", server.entry.id},
+         {"silent_ms", ms_between(before, now)},
+         {"awaited", server.silence.responses().awaited_responses()}});
+  } else if (found == news::recovered) {
     kernel::log_event(kernel::event::server_heard,
                       {{"server", server.entry.id}, {"by", "answer"}});
   }
-  if (!server.silence.question_due(now)) return;
-  if (this->resting.take_question(server.entry.id, now)) this->ask(server);
+  if (!server.silence.is_probe_due(now)) return;
+  if (this->resting.claim_probe(server.entry.id, now)) this->ask(server);
 }
 
 void dispatcher::ask(server_state& server) {
@@ -149,10 +151,10 @@
       this->known_catalog
           ? this->known_catalog->find_service(server.entry.service)
           : nullptr;
-  server.silence.on_asked();
+  server.silence.on_probe_sent();
   if (!service || service->health_path.empty()) {
     // It can't be asked, so now and then a request shows.
-    server.silence.on_question_ended(true, time_point::clock::now());
+    server.silence.on_probe_ended(true, time_point::clock::now());
     kernel::log_event(kernel::event::server_heard,
                       {{"server", server.entry.id}, {"by", "no status check"}});
     return;
@@ -192,9 +194,9 @@
   const auto now = time_point::clock::now();
   this->excuse_own_pause(now);
   auto& silence = found->second.silence;
-  if (!answer && asked < silence.answers().silent_since()) {
+  if (!answer && asked < silence.responses().waiting_since()) {
     // The router stood still meanwhile, or the server was heard otherwise.
-    silence.on_question_missed();
+    silence.on_probe_discarded();
     return;
   }
   const bool answered =
@@ -203,7 +205,7 @@
     kernel::log_event(kernel::event::server_unanswering,
                       {{"server", server}, {"error", answer.error()}});
   }
-  const bool ended = silence.on_question_ended(answered, now);
+  const bool ended = silence.on_probe_ended(answered, now);
   if (!ended) return;
   kernel::log_event(kernel::event::server_heard,
                     {{"server", server}, {"by", "question"}});
--- a/src/serve/dispatcher_waiting.cpp
+++ b/src/serve/dispatcher_waiting.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide/answer_size.hpp"
+#include "decide/response_size.hpp"
 #include "decide/wait_limit.hpp"
 #include "kernel/event_log.hpp"
 #include "serve/dispatcher.hpp"
@@ -29,26 +29,27 @@
   // Nobody knows what is left of an answer that has begun, and without another
   // run it is cut for sure.
   if (request.answered()) return false;
-  return this->gate.refuses(this->answer_time(request, start), start);
+  return this->gate.rejects(this->answer_time(request, start), start);
 }
 
 milliseconds dispatcher::answer_time(const exchange& request,
                                      time_point now) const {
-  const decide::answer_size size{.most = request.fields().output_tokens,
-                                 .hint = request.fields().output_hint};
+  const decide::response_size size{.max_tokens = request.fields().output_tokens,
+                                   .hint = request.fields().output_hint};
   const auto found = this->paces.find(request.service());
-  const auto& pace =
-      found == this->paces.end() ? decide::answer_pace() : found->second;
-  return pace.most_time(size.safe_tokens(), now);
+  const auto& pace = found == this->paces.end()
+                         ? decide::response_time_estimate()
+                         : found->second;
+  return pace.max_response_time(size.safe_tokens(), now);
 }
 
-decide::wait_case dispatcher::waiting_of(const exchange& request,
-                                         time_point now) const {
+decide::wait_state dispatcher::waiting_of(const exchange& request,
+                                          time_point now) const {
   const auto& route = *request.route();
   return {.waited = milliseconds(ms_between(request.request().received, now)),
-          .left = milliseconds(ms_between(now, request.due())),
-          .stream = route.rule == fleet::repeat_rule::stream,
-          .objective = route.latency_objective,
+          .remaining = milliseconds(ms_between(now, request.due())),
+          .is_stream = route.rule == fleet::repeat_rule::stream,
+          .first_event_objective = route.latency_objective,
           .gap_objective = route.gap_objective};
 }
 
@@ -86,7 +87,7 @@
     return refusal{result_code::draining, "the router stops",
                    other_router_takes};
   }
-  const auto back = decide::refuse_waiting_now(waiting);
+  const auto back = decide::retry_after_if_rejected(waiting);
   if (!back) return std::nullopt;
   if (!listed) {
     return refusal{result_code::no_server, "no server takes new requests",
@@ -122,13 +123,13 @@
                     {{"running", this->running()},
                      {"waiting", this->waiting()},
                      {"until_ms", ms_between(now, until)}});
-  this->gate.close(now, until);
+  this->gate.begin_shutdown(now, until);
 }
 
 void dispatcher::end_stop() {
   kernel::log_event(kernel::event::drain_ended, {{"running", this->running()},
                                                  {"waiting", this->waiting()}});
-  this->gate.shut();
+  this->gate.reject_all();
   this->judge_waiting();
   // Requests that end change the servers' lists of them.
   std::vector<std::shared_ptr<exchange>> open;
@@ -143,7 +144,7 @@
 
 bool dispatcher::shut_if_idle() {
   if (this->waiting() + this->running() > 0) return false;
-  this->gate.shut();
+  this->gate.reject_all();
   return true;
 }
 
--- a/src/serve/entry.cpp
+++ b/src/serve/entry.cpp
@@ -212,7 +212,7 @@
   auto strikes = this->requests.take_strikes();
   // What is told of silence counts only while it is fresh.
   const bool same = report == this->last_report && report.demands.empty() &&
-                    report.silent.empty();
+                    report.unresponsive_servers.empty();
   if (same && strikes.empty()) return;
   this->finder->send(
       wire::encode(wire::router_report{.router = this->settings.id,
@@ -258,7 +258,7 @@
   this->stopping = true;
   this->loop.post([this, end] { this->requests.begin_stop(end); });
   std::this_thread::sleep_until(
-      std::min(begin + decide::stop_gate::balancer_notices, end));
+      std::min(begin + decide::shutdown_gate::balancer_removal_time, end));
   this->close_connections = true;
   while (!this->shut && time_point::clock::now() < end) {
     this->loop.post([this] {
--- a/src/serve/entry_settings.cpp
+++ b/src/serve/entry_settings.cpp
@@ -16,33 +16,36 @@
 void read_planner(kernel::settings_document& document,
                   decide::planner_settings& planner) {
   auto section = document.section("planner");
-  planner.store_loads = static_cast<int>(
-      section.number("store_loads", planner.store_loads, 1, 1000));
+  planner.initial_store_loads = static_cast<int>(
+      section.number("store_loads", planner.initial_store_loads, 1, 1000));
   planner.requests_per_replica = section.real(
       "requests_per_replica", planner.requests_per_replica, 1, 1000);
-  planner.relief = section.real("relief", planner.relief, 0, 1);
+  planner.scale_out_load_ratio =
+      section.real("relief", planner.scale_out_load_ratio, 0, 1);
   constexpr milliseconds longest(60000);
-  planner.settle =
-      section.duration("settle_ms", planner.settle, milliseconds(0), longest);
-  planner.starved =
-      section.duration("starved_ms", planner.starved, milliseconds(0), longest);
-  planner.observe =
-      section.duration("observe_ms", planner.observe, milliseconds(0), longest);
-  planner.acquaint = section.duration("acquaint_ms", planner.acquaint,
-                                      milliseconds(0), longest);
+  planner.min_residency = section.duration("settle_ms", planner.min_residency,
+                                           milliseconds(0), longest);
+  planner.starvation_wait = section.duration(
+      "starved_ms", planner.starvation_wait, milliseconds(0), longest);
+  planner.observation_period = section.duration(
+      "observe_ms", planner.observation_period, milliseconds(0), longest);
+  planner.first_report_timeout = section.duration(
+      "acquaint_ms", planner.first_report_timeout, milliseconds(0), longest);
   constexpr double most_loss_s = 1000000;
-  planner.stock_gain =
-      section.real("stock_gain_s", planner.stock_gain, 0, most_loss_s);
-  planner.idle_loss =
-      section.real("idle_loss_s", planner.idle_loss, 0, most_loss_s);
+  planner.min_preload_gain_s =
+      section.real("stock_gain_s", planner.min_preload_gain_s, 0, most_loss_s);
+  planner.max_idle_eviction_cost_s = section.real(
+      "idle_loss_s", planner.max_idle_eviction_cost_s, 0, most_loss_s);
 }
 
 void read_budget(kernel::settings_document& document,
-                 decide::send_budget_settings& budget) {
+                 decide::windowed_retry_budget_settings& budget) {
   constexpr double most_seconds = 3600;
   auto section = document.section("retries");
-  budget.ratio = section.real("ratio", budget.ratio, 0, 1);
-  budget.extra = section.real("extra", budget.extra, 0, 1000000);
+  budget.retries_per_request =
+      section.real("ratio", budget.retries_per_request, 0, 1);
+  budget.constant_retries =
+      section.real("extra", budget.constant_retries, 0, 1000000);
   budget.window = seconds_read(section, "window_s", 10, most_seconds);
 }
 
@@ -67,10 +70,11 @@
                                     least_memory_mb, most_memory_mb);
   settings.queue_share = entry.real("queue_share", settings.queue_share, 0, 10);
   constexpr int most_tokens = 1000000000;
-  settings.unread.at_server = static_cast<int>(entry.number(
-      "unread_prompt_tokens", settings.unread.at_server, 0, most_tokens));
-  settings.unread.late = static_cast<int>(
-      entry.number("late_prompt_tokens", settings.unread.late, 0, most_tokens));
+  settings.unread.server_tokens = static_cast<int>(entry.number(
+      "unread_prompt_tokens", settings.unread.server_tokens, 0, most_tokens));
+  settings.unread.late_request_tokens = static_cast<int>(
+      entry.number("late_prompt_tokens", settings.unread.late_request_tokens, 0,
+                   most_tokens));
   read_budget(document, settings.budget);
   read_planner(document, settings.planner);
   return settings;
--- a/src/serve/entry_settings.hpp
+++ b/src/serve/entry_settings.hpp
@@ -7,8 +7,8 @@
 #include <boragehill/time_point.hpp>
 
 #include "decide/planner_settings.hpp"
-#include "decide/send_budget_settings.hpp"
-#include "decide/unread_limits.hpp"
+#include "decide/prompt_backlog_limits.hpp"
+#include "decide/windowed_retry_budget_settings.hpp"
 #include "serve/node_settings.hpp"
 
 namespace boragehill::kernel {
@@ -31,11 +31,11 @@
   milliseconds stop_within{8000};
   /// What the process may use at the most, in megabytes.
   double memory_mb = 256;
-  decide::send_budget_settings budget;
+  decide::windowed_retry_budget_settings budget;
   decide::planner_settings planner;
   /// How far above its slots a server may be filled.
   double queue_share = 0.25;
-  decide::unread_limits unread;
+  decide::prompt_backlog_limits unread;
 
   bool operator==(const entry_settings&) const = default;
 
--- a/src/serve/exchange.cpp
+++ b/src/serve/exchange.cpp
@@ -88,8 +88,8 @@
 void exchange::start() {
   if (!this->read_fields() || !this->choose_route()) return;
   this->choose_service();
-  this->record = decide::send_record(this->way->rule, this->way->resumable,
-                                     this->way->attempts);
+  this->record = decide::attempt_history(this->way->rule, this->way->resumable,
+                                         this->way->attempts);
   auto allowed = this->way->timeout;
   if (this->asked.deadline) allowed = std::min(allowed, *this->asked.deadline);
   this->limit = this->what.received + allowed;
@@ -155,7 +155,7 @@
   this->at = server.id;
   this->last = server.id;
   this->unread = true;
-  this->record.on_send(server.id);
+  this->record.on_attempt(server.id);
   if (!this->offered) this->offered = now;
   this->sent = now;
   this->not_run_answer = false;
@@ -326,11 +326,11 @@
     return false;
   }
   const bool in_time = time_point::clock::now() < this->limit;
-  if (!in_time || !this->record.may_repeat_failure()) return false;
+  if (!in_time || !this->record.may_retry_failure()) return false;
   if (!this->host.take_repeat(*this)) return false;
   this->kept_head = std::exchange(this->small_head, std::nullopt);
   this->kept_body = std::exchange(this->small_body, {});
-  this->record.on_perhaps_run();
+  this->record.on_possible_run();
   this->leave_server();
   this->host.place(this->shared_from_this());
   return true;
@@ -365,7 +365,7 @@
   if (this->done) return;
   this->small_head.reset();
   this->small_body.clear();
-  this->record.on_perhaps_run();
+  this->record.on_possible_run();
   this->host.on_server_failed(*this, true);
   this->leave_server();
   this->again("answer broke off");
@@ -374,7 +374,7 @@
 void exchange::again(const char* why) {
   const bool in_time = time_point::clock::now() < this->limit;
   const bool can_go_on = !this->head_passed || this->way->resumable;
-  if (in_time && can_go_on && this->record.may_send() &&
+  if (in_time && can_go_on && this->record.may_attempt() &&
       this->host.take_repeat(*this)) {
     return this->host.place(this->shared_from_this());
   }
@@ -385,7 +385,7 @@
 
 bool exchange::may_move() const {
   const bool can_go_on = !this->head_passed || this->way->resumable;
-  return can_go_on && !this->done && this->record.may_move() &&
+  return can_go_on && !this->done && this->record.may_reassign() &&
          time_point::clock::now() < this->limit;
 }
 
@@ -401,7 +401,7 @@
 
 void exchange::leave_running() {
   if (!this->connection) return;
-  this->record.on_perhaps_run();
+  this->record.on_possible_run();
   this->drop_server();
 }
 
@@ -410,7 +410,7 @@
   this->leave_running();
   if (this->head_passed) return this->break_off("time is over");
   if (this->pass_kept_failure()) return;
-  if (this->record.surely_not_run()) {
+  if (this->record.is_known_not_run()) {
     return this->answer_own(unavailable_status, result_code::deadline_passed,
                             "no server in time", milliseconds(0));
   }
@@ -423,7 +423,7 @@
   if (this->done) return;
   if (this->head_passed) return this->break_off(reason);
   if (this->pass_kept_failure()) return;
-  if (this->record.surely_not_run()) {
+  if (this->record.is_known_not_run()) {
     const auto true_code =
         code == result_code::outcome_unknown ? result_code::no_server : code;
     return this->answer_own(unavailable_status, true_code, reason, retry_after);
--- a/src/serve/exchange.hpp
+++ b/src/serve/exchange.hpp
@@ -10,7 +10,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/send_record.hpp"
+#include "decide/attempt_history.hpp"
 #include "fleet/request_fields.hpp"
 #include "fleet/route.hpp"
 #include "http/event_splitter.hpp"
@@ -80,7 +80,7 @@
   const std::string& server() const { return this->at; }
   /// \return The server that had it last; empty if none had.
   const std::string& last_server() const { return this->last; }
-  const decide::send_record& sends() const { return this->record; }
+  const decide::attempt_history& sends() const { return this->record; }
   const exchange_result& result() const { return this->ended; }
   /// \return When its final answer is due at the latest.
   time_point due() const { return this->limit; }
@@ -141,7 +141,7 @@
   std::string target;
   std::string at;
   std::string last;
-  decide::send_record record;
+  decide::attempt_history record;
   asio::steady_timer timer;
   time_point limit;
   std::shared_ptr<server_connection> connection;
--- a/src/serve/planner_duty.cpp
+++ b/src/serve/planner_duty.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide/view_filter.hpp"
+#include "decide/request_count_filter.hpp"
 #include "kernel/event_log.hpp"
 #include "wire/planner_codec.hpp"
 
@@ -26,9 +26,9 @@
 std::vector<fleet::resident_model> kept_models(
     const decide::planned_worker& worker) {
   std::vector<fleet::resident_model> kept;
-  if (worker.leaves()) return kept;
+  if (worker.is_draining()) return kept;
   for (const auto& each : worker.report->models) {
-    if (worker.meant_for(each.name)) kept.push_back(each);
+    if (worker.has_target_model(each.name)) kept.push_back(each);
   }
   return kept;
 }
@@ -40,10 +40,11 @@
                                          int others) {
   auto models = kept_models(worker);
   const bool same = told.models && *told.models == models;
-  if (same && !decide::worth_telling(told.other_requests, others)) {
+  if (same && !decide::is_significant_change(told.other_requests, others)) {
     return std::nullopt;
   }
-  wire::server_view news{.server = worker.entry.id, .other_requests = others};
+  wire::server_view news{.server = worker.list_entry.id,
+                         .other_requests = others};
   if (!same) news.models = models;
   told.other_requests = others;
   told.models = std::move(models);
@@ -77,7 +78,7 @@
   this->loop.post([this, new_term] {
     kernel::log_event(kernel::event::planner_leads, {{"term", new_term}});
     this->term = new_term;
-    this->planner.begin(time_point::clock::now());
+    this->planner.start(time_point::clock::now());
     // What an earlier term told the agents must be told again under this one.
     for (auto& [address, each] : this->agents) each.told = {};
     this->link_agents();
@@ -125,12 +126,13 @@
   }
   auto report = wire::decode_router_report(message);
   found->second.router = report.router;
-  this->planner.on_demand(report.router, report.demand,
-                          time_point::clock::now());
+  this->planner.on_demand_report(report.router, report.demand,
+                                 time_point::clock::now());
   this->demands[report.router] = std::move(report.demand);
   for (const auto& each : report.strikes) {
-    if (!this->crashes.on_strike(each, time_point::clock::now())) continue;
-    this->convicted = this->crashes.convicted(time_point::clock::now());
+    if (!this->crashes.on_crash(each, time_point::clock::now())) continue;
+    this->convicted =
+        this->crashes.quarantined_requests(time_point::clock::now());
   }
   this->plan_soon();
 }
@@ -144,7 +146,7 @@
       this->routers.begin(), this->routers.end(),
       [&](const auto& each) { return each.second.router == router; });
   if (linked_again) return;
-  this->planner.on_router_gone(router);
+  this->planner.on_router_removed(router);
   this->demands.erase(router);
 }
 
@@ -154,10 +156,11 @@
     // A new worker holds nothing and has no copies; the catalog tells that it
     // runs models.
     const auto* service =
-        this->catalog ? this->catalog->find_service(worker.entry.service)
+        this->catalog ? this->catalog->find_service(worker.list_entry.service)
                       : nullptr;
     if (!service || !service->has_engine) continue;
-    wanted.insert({worker.entry.address.address, this->settings.link_port});
+    wanted.insert(
+        {worker.list_entry.address.address, this->settings.link_port});
   }
   for (auto each = this->agents.begin(); each != this->agents.end();) {
     if (wanted.contains(each->first)) {
@@ -215,7 +218,7 @@
   if (status.reachable && same) {
     this->planner.on_report(server, status.report, now);
   } else {
-    this->planner.on_unreachable(server);
+    this->planner.on_worker_unreachable(server);
   }
   this->plan_soon();
 }
@@ -257,9 +260,9 @@
   this->arm(plan_interval);
 }
 
-void planner_duty::log_move(const decide::residency_move& move) const {
+void planner_duty::log_move(const decide::load_decision& move) const {
   std::string victims;
-  for (const auto& each : move.victims) {
+  for (const auto& each : move.evicted_models) {
     if (!victims.empty()) victims += ',';
     victims += each;
   }
@@ -267,28 +270,28 @@
                     {{"model", move.model},
                      {"server", move.server},
                      {"term", this->term},
-                     {"why", move.why},
+                     {"why", move.reason},
                      {"victims", victims},
                      {"load_ms", move.load_time.count()},
                      {"from_store", move.from_store},
-                     {"cost_s", move.cost},
+                     {"cost_s", move.cost_s},
                      {"waiting", move.waiting},
-                     {"flying", move.flying},
+                     {"flying", move.in_flight},
                      {"replicas", move.replicas}});
 }
 
 void planner_duty::tell_agents() {
   for (const auto& [id, worker] : this->planner.workers()) {
     if (!worker.report) continue;
-    const endpoint address{worker.entry.address.address,
+    const endpoint address{worker.list_entry.address.address,
                            this->settings.link_port};
     const auto found = this->agents.find(address);
     if (found == this->agents.end()) continue;
     if (!worker.report->server.empty() && worker.report->server != id) continue;
     wire::worker_target target{.term = this->term,
                                .server = id,
-                               .born = worker.entry.born,
-                               .service = worker.entry.service,
+                               .born = worker.list_entry.born,
+                               .service = worker.list_entry.service,
                                .target = worker.target};
     if (target == found->second.told) continue;
     found->second.link->send(wire::encode(target));
@@ -301,14 +304,14 @@
   std::map<std::string, int> requests;
   const auto found = this->demands.find(router);
   if (found == this->demands.end()) return requests;
-  for (const auto& each : found->second.flights) {
+  for (const auto& each : found->second.in_flight) {
     requests[each.server] += each.requests;
   }
   return requests;
 }
 
 bool planner_duty::expects_the_same(const router_link& router) const {
-  const auto& news = this->planner.expected();
+  const auto& news = this->planner.expected_ready_times();
   if (news.size() != router.expected.size()) return false;
   return std::equal(news.begin(), news.end(), router.expected.begin(),
                     [](const auto& one, const auto& other) {
@@ -330,7 +333,7 @@
       if (!worker.report) continue;
       const auto mine = own.find(id);
       const int others =
-          worker.requests - (mine == own.end() ? 0 : mine->second);
+          worker.total_in_flight - (mine == own.end() ? 0 : mine->second);
       auto news = news_of(each.told[id], worker, others);
       if (news) update.servers.push_back(std::move(*news));
     }
@@ -343,8 +346,8 @@
       update.convicted = this->convicted;
       each.convicted = this->convicted;
     }
-    if (!same) each.expected = this->planner.expected();
-    for (const auto& [model, at] : this->planner.expected()) {
+    if (!same) each.expected = this->planner.expected_ready_times();
+    for (const auto& [model, at] : this->planner.expected_ready_times()) {
       update.expected.push_back(
           {.model = model,
            .ready_in = std::chrono::ceil<milliseconds>(at - now)});
--- a/src/serve/planner_duty.hpp
+++ b/src/serve/planner_duty.hpp
@@ -12,7 +12,7 @@
 
 #include <boragehill/endpoint.hpp>
 
-#include "decide/crash_tally.hpp"
+#include "decide/crash_counter.hpp"
 #include "decide/residency_planner.hpp"
 #include "kernel/event_loop.hpp"
 #include "serve/entry_settings.hpp"
@@ -66,7 +66,7 @@
   void plan_soon();
   void arm(milliseconds wait);
   void plan();
-  void log_move(const decide::residency_move& move) const;
+  void log_move(const decide::load_decision& move) const;
   void tell_agents();
   void tell_routers();
   bool expects_the_same(const router_link& router) const;
@@ -85,7 +85,7 @@
   std::map<std::string, decide::demand_report> demands;
   std::map<endpoint, agent_link> agents;
   std::map<endpoint, time_point> agent_retry;
-  decide::crash_tally crashes{most_struck};
+  decide::crash_counter crashes{most_struck};
   /// Requests that no router should run, as last summed up.
   std::vector<std::string> convicted;
   time_point last_plan;
--- a/src/serve/planner_finder.cpp
+++ b/src/serve/planner_finder.cpp
@@ -112,7 +112,7 @@
       kernel::event::planner_lost,
       {{"term", this->followed.term}, {"router", this->followed.router}});
   const bool reached = this->link && this->link->was_connected();
-  if (reached) this->loss.on_reached();
+  if (reached) this->loss.on_connected();
   if (this->loss.on_link_ended(this->followed.term, reached)) {
     this->failed_term = this->followed.term;
   }
--- a/src/serve/planner_finder.hpp
+++ b/src/serve/planner_finder.hpp
@@ -8,7 +8,7 @@
 
 #include <boragehill/time_point.hpp>
 
-#include "decide/planner_loss.hpp"
+#include "decide/planner_loss_detector.hpp"
 #include "fleet/planner_row.hpp"
 #include "fleet/platform_store.hpp"
 #include "kernel/event_loop.hpp"
@@ -69,7 +69,7 @@
   fleet::planner_row followed;
   /// The term whose planner could not be reached.
   std::int64_t failed_term = -1;
-  decide::planner_loss loss;
+  decide::planner_loss_detector loss;
   bool stopped = false;
 };
 
--- a/src/serve/server_state.hpp
+++ b/src/serve/server_state.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/silence_watch.hpp"
+#include "decide/stall_detector.hpp"
 #include "fleet/resident_model.hpp"
 #include "fleet/server.hpp"
 
@@ -30,7 +30,7 @@
   /// Requests of this router there.
   std::map<const exchange*, std::shared_ptr<exchange>> requests;
   /// What comes of them.
-  decide::silence_watch silence;
+  decide::stall_detector silence;
   /// Requests of other routers there, as the planner said.
   int other_requests = 0;
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -179,8 +179,8 @@
   this->metrics.set_reachable(this->status.reachable);
   this->order();
   this->tell();
-  this->report_timer.expires_after(this->orders.busy() ? busy_report_interval
-                                                       : report_interval);
+  this->report_timer.expires_after(this->orders.is_busy() ? busy_report_interval
+                                                          : report_interval);
   this->report_timer.async_wait([this](std::error_code cancelled) {
     if (!cancelled) this->ask_report();
   });
@@ -202,7 +202,7 @@
            {"expected", next->expected},
            {"term", this->term},
            {"answer", name_of(answer)}});
-      this->orders.on_answer(*next, answer, time_point::clock::now());
+      this->orders.on_response(*next, answer, time_point::clock::now());
       // The next report shows what came of it.
       this->report_timer.cancel();
       this->ask_report();
--- a/src/wire/planner_codec.cpp
+++ b/src/wire/planner_codec.cpp
@@ -44,8 +44,8 @@
   if (demand.arrivals > 0) value["arrivals"] = demand.arrivals;
   if (demand.waiting > 0) {
     value["waiting"] = demand.waiting;
-    value["oldest_ms"] = Json::Int64(demand.oldest.count());
-    value["worth"] = demand.worth;
+    value["oldest_ms"] = Json::Int64(demand.oldest_wait.count());
+    value["worth"] = demand.weight;
   }
   return value;
 }
@@ -56,11 +56,11 @@
           .adapter = value["adapter"].asString(),
           .arrivals = value["arrivals"].asInt(),
           .waiting = value["waiting"].asInt(),
-          .oldest = milliseconds(value["oldest_ms"].asInt64()),
-          .worth = value["worth"].asDouble()};
+          .oldest_wait = milliseconds(value["oldest_ms"].asInt64()),
+          .weight = value["worth"].asDouble()};
 }
 
-Json::Value encode_flight(const decide::model_flight& flight) {
+Json::Value encode_flight(const decide::model_in_flight& flight) {
   Json::Value value;
   value["server"] = flight.server;
   value["model"] = flight.model;
@@ -69,7 +69,7 @@
   return value;
 }
 
-decide::model_flight decode_flight(const Json::Value& value) {
+decide::model_in_flight decode_flight(const Json::Value& value) {
   return {.server = value["server"].asString(),
           .model = value["model"].asString(),
           .adapter = value["adapter"].asString(),
@@ -182,11 +182,11 @@
     demands.append(encode_demand(each));
   }
   Json::Value& flights = message["flights"] = Json::Value(Json::arrayValue);
-  for (const auto& each : report.demand.flights) {
+  for (const auto& each : report.demand.in_flight) {
     flights.append(encode_flight(each));
   }
-  if (!report.demand.silent.empty()) {
-    message["silent"] = encode_texts(report.demand.silent);
+  if (!report.demand.unresponsive_servers.empty()) {
+    message["silent"] = encode_texts(report.demand.unresponsive_servers);
   }
   if (!report.strikes.empty()) {
     message["strikes"] = encode_texts(report.strikes);
@@ -200,9 +200,9 @@
     report.demand.demands.push_back(decode_demand(each));
   }
   for (const auto& each : message["flights"]) {
-    report.demand.flights.push_back(decode_flight(each));
+    report.demand.in_flight.push_back(decode_flight(each));
   }
-  report.demand.silent = kernel::texts_of(message["silent"]);
+  report.demand.unresponsive_servers = kernel::texts_of(message["silent"]);
   report.strikes = kernel::texts_of(message["strikes"]);
   return report;
 }
--- a/test/decide-test/attempt_memory_test.cpp
+++ b/test/decide-test/attempt_registry_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/attempt_memory.hpp"
+#include "decide/attempt_registry.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -15,7 +15,8 @@
 namespace {
 
 constexpr milliseconds second{1000};
-constexpr attempt_memory_settings small{.retention = 10 * second, .most = 8};
+constexpr attempt_registry_settings small{.retention = 10 * second,
+                                          .max_attempts = 8};
 constexpr std::uint64_t own_fence = 3;
 
 time_point at(milliseconds time) {
@@ -27,7 +28,7 @@
 }
 
 TEST(attempt_memory_test, lets_an_attempt_begin_once) {
-  attempt_memory memory(small);
+  attempt_registry memory(small);
   EXPECT_EQ(memory.begin(id_of(1), at(second), at({})).code, result_code::ok);
   const auto again = memory.begin(id_of(1), at(second), at({}));
   EXPECT_EQ(again.code, result_code::attempt_seen);
@@ -38,7 +39,7 @@
 // caller; the attempt was delayed in the network, arrives later and must not
 // run then.
 TEST(attempt_memory_test, a_tombstoned_attempt_never_begins) {
-  attempt_memory memory(small);
+  attempt_registry memory(small);
   EXPECT_EQ(memory.tombstone(id_of(1), at(second), at({})),
             attempt_state::never_ran);
   const auto late = memory.begin(id_of(1), at(second), at({}));
@@ -50,35 +51,35 @@
 // the agent has removed the tombstone that another router set in the meantime.
 // The attempt must not run, however long the pause was.
 TEST(attempt_memory_test, refuses_an_attempt_after_its_permit_ended) {
-  attempt_memory memory(small);
+  attempt_registry memory(small);
   memory.tombstone(id_of(1), at(second), at({}));
-  memory.tick(at(100 * second));
+  memory.remove_expired(at(100 * second));
   EXPECT_EQ(memory.size(), 0U);
   EXPECT_EQ(memory.begin(id_of(1), at(second), at(100 * second)).code,
             result_code::permit_ended);
 }
 
 TEST(attempt_memory_test, says_forgotten_only_below_its_horizon) {
-  attempt_memory memory(small);
+  attempt_registry memory(small);
   memory.begin(id_of(1), at(second), at({}));
   memory.end(id_of(1), true);
   EXPECT_EQ(memory.state_of(id_of(2), at(second)), attempt_state::never_ran);
-  memory.tick(at(60 * second));
+  memory.remove_expired(at(60 * second));
   EXPECT_EQ(memory.state_of(id_of(1), at(second)), attempt_state::forgotten);
   EXPECT_EQ(memory.state_of(id_of(2), at(2 * second)),
             attempt_state::never_ran);
 }
 
 TEST(attempt_memory_test, never_forgets_an_attempt_that_runs) {
-  attempt_memory memory(small);
+  attempt_registry memory(small);
   memory.begin(id_of(1), at(second), at({}));
-  memory.tick(at(100 * second));
+  memory.remove_expired(at(100 * second));
   EXPECT_EQ(memory.state_of(id_of(1), at(second)), attempt_state::running);
 }
 
 TEST(attempt_memory_test, full_of_live_permits_it_refuses_and_forgets_none) {
-  attempt_memory memory(small);
-  for (std::uint64_t i = 0; i < small.most; ++i) {
+  attempt_registry memory(small);
+  for (std::uint64_t i = 0; i < small.max_attempts; ++i) {
     memory.begin(id_of(i), at(second), at({}));
     memory.end(id_of(i), true);
   }
@@ -86,8 +87,8 @@
             result_code::server_busy);
   EXPECT_EQ(memory.begin(id_of(100), at(9 * second), at(2 * second)).code,
             result_code::ok);
-  EXPECT_EQ(memory.size(), small.most);
-  EXPECT_EQ(memory.horizon(), at(second));
+  EXPECT_EQ(memory.size(), small.max_attempts);
+  EXPECT_EQ(memory.retention_horizon(), at(second));
 }
 
 TEST(admission_test, refuses_in_the_order_of_what_is_certain) {
@@ -95,7 +96,7 @@
   const attempt_offer offer{id_of(1), own_fence, at(second)};
   EXPECT_EQ(door.decide(offer, result_code::ok, at({})).code,
             result_code::wrong_incarnation);
-  door.take_fence(own_fence);
+  door.set_fencing_number(own_fence);
   EXPECT_EQ(door.decide(offer, result_code::ok, at({})).code,
             result_code::server_busy);
   door.set_slots(1);
@@ -105,7 +106,7 @@
   door.drain();
   EXPECT_EQ(
       door.decide({id_of(2), own_fence, at(second)}, result_code::ok, at({})),
-      (admission_verdict{result_code::draining, ran_state::no}));
+      (admission_decision{result_code::draining, ran_state::no}));
   door.end(id_of(1), true);
   door.end(id_of(1), true);
   EXPECT_EQ(door.running(), 0U);
@@ -113,7 +114,7 @@
 
 TEST(admission_test, knows_nothing_of_another_incarnations_attempts) {
   admission door(small);
-  door.take_fence(own_fence);
+  door.set_fencing_number(own_fence);
   const attempt_offer old{id_of(1), own_fence - 1, at(second)};
   EXPECT_EQ(door.tombstone(old, at({})), attempt_state::forgotten);
   EXPECT_EQ(door.state_of(old), attempt_state::forgotten);
@@ -155,7 +156,7 @@
         }
         break;
       default:
-        door.tick(now);
+        door.remove_expired(now);
         if (running.empty()) break;
         door.end(running.back().id, random() % 2 == 0);
         running.pop_back();
@@ -168,8 +169,8 @@
 /// end of its permit.
 class forgetful_admission {
  public:
-  admission_verdict decide(const attempt_offer& offer, result_code,
-                           time_point) {
+  admission_decision decide(const attempt_offer& offer, result_code,
+                            time_point) {
     if (!this->seen.insert(offer.id.to_string()).second) {
       return {result_code::attempt_seen, ran_state::unknown};
     }
@@ -180,7 +181,7 @@
                                                      : attempt_state::never_ran;
   }
   void end(const attempt_id& id, bool) { this->seen.erase(id.to_string()); }
-  void tick(time_point) {}
+  void remove_expired(time_point) {}
 
  private:
   std::set<std::string> seen;
@@ -190,7 +191,7 @@
 
 TEST_P(attempts_property_test, runs_once_and_keeps_its_promises) {
   admission door(small);
-  door.take_fence(own_fence);
+  door.set_fencing_number(own_fence);
   door.set_slots(4);
   const history past = play(door, this->GetParam());
   EXPECT_GT(past.runs.size(), 0U);
--- a/test/decide-test/catalog_test.cpp
+++ b/test/decide-test/catalog_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_EQ(spec->bytes, 12u);
   EXPECT_EQ(spec->replicas, 3u);
   EXPECT_EQ(spec->max_replicas, 3u);
-  EXPECT_EQ(spec->warm, 1u);
+  EXPECT_EQ(spec->warm_replicas, 1u);
   EXPECT_EQ(spec->cold_start_weight, 4.0);
   EXPECT_EQ(published.spec_of("other"), nullptr);
 }
--- a/test/decide-test/strikes_test.cpp
+++ b/test/decide-test/crash_attribution_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/strikes.hpp"
+#include "decide/crash_attribution.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -17,18 +17,20 @@
 
 const time_point start{milliseconds{1000}};
 
-strikes book_of(std::size_t capacity) {
-  return strikes({.capacity = capacity, .keep = milliseconds{1000}});
+crash_attribution book_of(std::size_t capacity) {
+  return crash_attribution(
+      {.capacity = capacity, .retention = milliseconds{1000}});
 }
 
 TEST(strikes_test, convicts_the_struck_one_at_the_second_crash) {
-  strikes book = book_of(100);
+  crash_attribution book = book_of(100);
   EXPECT_TRUE(book.on_crash({"poison", "quote"}, start).empty());
-  EXPECT_EQ(book.judge("quote", start), strike_verdict{run_alone{}});
+  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_isolated{}});
   const std::vector<std::string> guilty{"poison"};
   EXPECT_EQ(book.on_crash({"poison", "reading"}, start), guilty);
-  EXPECT_EQ(book.judge("poison", start), strike_verdict{convicted{}});
-  EXPECT_EQ(book.judge("reading", start), strike_verdict{run_alone{}});
+  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
+  EXPECT_EQ(book.evaluate("reading", start),
+            isolation_decision{run_isolated{}});
   EXPECT_TRUE(book.on_crash({"poison"}, start).empty());
 }
 
@@ -36,49 +38,49 @@
   // Guards against quarantining a harmless request: it was in flight at a crash
   // together with the poison request, both were retried, and two homes that
   // don't share their crash counts chose the same server for them.
-  strikes book = book_of(100);
+  crash_attribution book = book_of(100);
   book.on_crash({"poison", "quote"}, start);
   EXPECT_TRUE(book.on_crash({"poison", "quote"}, start).empty());
-  EXPECT_EQ(book.judge("quote", start), strike_verdict{run_alone{}});
-  EXPECT_EQ(book.judge("poison", start), strike_verdict{run_alone{}});
+  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_isolated{}});
+  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{run_isolated{}});
 }
 
 TEST(strikes_test, clears_strikes_but_no_conviction_on_success) {
-  strikes book = book_of(100);
+  crash_attribution book = book_of(100);
   book.on_crash({"quote"}, start);
-  book.on_success("quote");
-  EXPECT_EQ(book.judge("quote", start), strike_verdict{free_to_run{}});
-  book.convict("poison", start);
-  book.on_success("poison");
-  EXPECT_EQ(book.judge("poison", start), strike_verdict{convicted{}});
+  book.on_completed("quote");
+  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_normally{}});
+  book.quarantine("poison", start);
+  book.on_completed("poison");
+  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
 }
 
 TEST(strikes_test, forgets_after_the_keep_time_though_peers_repeat_it) {
-  strikes book = book_of(100);
-  book.convict("poison", start);
-  book.convict("poison", start + milliseconds{900});
-  EXPECT_EQ(book.judge("poison", start + milliseconds{1000}),
-            strike_verdict{convicted{}});
-  EXPECT_EQ(book.judge("poison", start + milliseconds{1001}),
-            strike_verdict{free_to_run{}});
+  crash_attribution book = book_of(100);
+  book.quarantine("poison", start);
+  book.quarantine("poison", start + milliseconds{900});
+  EXPECT_EQ(book.evaluate("poison", start + milliseconds{1000}),
+            isolation_decision{quarantined{}});
+  EXPECT_EQ(book.evaluate("poison", start + milliseconds{1001}),
+            isolation_decision{run_normally{}});
 }
 
 TEST(strikes_test, drops_strikes_before_convictions_when_full) {
-  strikes book = book_of(2);
-  book.convict("poison", start);
+  crash_attribution book = book_of(2);
+  book.quarantine("poison", start);
   book.on_crash({"a", "b", "c"}, start + milliseconds{1});
   EXPECT_EQ(book.size(), 2U);
-  EXPECT_EQ(book.judge("poison", start), strike_verdict{convicted{}});
+  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
 }
 
 TEST(strikes_test, lists_the_latest_convictions_first) {
-  strikes book = book_of(9);
+  crash_attribution book = book_of(9);
   for (const char* name : {"a", "b", "c"}) {
-    book.convict(name, start + milliseconds{name[0]});
+    book.quarantine(name, start + milliseconds{name[0]});
   }
   book.on_crash({"quote"}, start);
   const std::vector<std::string> latest{"c", "b"};
-  EXPECT_EQ(book.recent_convictions(2), latest);
+  EXPECT_EQ(book.recent_quarantines(2), latest);
 }
 
 /// Servers that run random requests under the rules of `isolation_decision`.
@@ -110,12 +112,12 @@
 
   void send(server& chosen, const std::string& request) {
     if (this->is_in_flight(request)) return;
-    const strike_verdict verdict = this->book.judge(request, start);
-    if (verdict == strike_verdict{convicted{}}) {
+    const isolation_decision verdict = this->book.evaluate(request, start);
+    if (verdict == isolation_decision{quarantined{}}) {
       this->refused.insert(request);
       return;
     }
-    const bool alone = verdict == strike_verdict{run_alone{}};
+    const bool alone = verdict == isolation_decision{run_isolated{}};
     if (alone && this->runs_struck(chosen)) return;
     chosen.in_flight.insert(request);
   }
@@ -126,7 +128,7 @@
                                          chosen.in_flight.end());
     chosen.in_flight.clear();
     if (std::ranges::find(ended, "poison") == ended.end()) {
-      for (const auto& request : ended) this->book.on_success(request);
+      for (const auto& request : ended) this->book.on_completed(request);
       return;
     }
     this->crashes["poison"] += 1;
@@ -141,12 +143,13 @@
 
   bool runs_struck(const server& chosen) const {
     return std::ranges::any_of(chosen.in_flight, [&](const auto& request) {
-      return this->book.judge(request, start) == strike_verdict{run_alone{}};
+      return this->book.evaluate(request, start) ==
+             isolation_decision{run_isolated{}};
     });
   }
 
   std::mt19937 random;
-  strikes book = book_of(1000);
+  crash_attribution book = book_of(1000);
   std::vector<server> servers{3};
 };
 
--- a/test/decide-test/eviction_test.cpp
+++ b/test/decide-test/eviction_test.cpp
@@ -21,21 +21,21 @@
 }
 
 TEST(eviction_test, takes_the_one_idle_for_longest_at_equal_reload_times) {
-  const auto victim = choose_victim(
+  const auto victim = choose_eviction(
       {idle("fresh", 10, minute, minute), idle("old", 10, {}, minute)}, 10,
       at(2 * minute));
   EXPECT_EQ(victim, "old");
 }
 
 TEST(eviction_test, takes_the_one_that_loads_again_fast) {
-  const auto victim = choose_victim({idle("remote", 10, minute, minute),
-                                     idle("cached", 10, minute, minute / 20)},
-                                    10, at(2 * minute));
+  const auto victim = choose_eviction({idle("remote", 10, minute, minute),
+                                       idle("cached", 10, minute, minute / 20)},
+                                      10, at(2 * minute));
   EXPECT_EQ(victim, "cached");
 }
 
 TEST(eviction_test, spares_small_ones_when_one_large_one_does_alone) {
-  const auto victim = choose_victim(
+  const auto victim = choose_eviction(
       {idle("small", 4, minute, minute), idle("small2", 4, minute, minute),
        idle("large", 8, minute, minute + minute / 10)},
       8, at(2 * minute));
@@ -46,14 +46,15 @@
   auto pinned = idle("pinned", 10, {}, milliseconds(1));
   pinned.keep_warm = milliseconds(-1);
   const auto other = idle("other", 10, 2 * minute, 10 * minute);
-  EXPECT_EQ(choose_victim({pinned, other}, 10, at(2 * minute)), "other");
-  EXPECT_EQ(choose_victim({pinned}, 10, at(2 * minute)), "pinned");
+  EXPECT_EQ(choose_eviction({pinned, other}, 10, at(2 * minute)), "other");
+  EXPECT_EQ(choose_eviction({pinned}, 10, at(2 * minute)), "pinned");
 }
 
 TEST(eviction_test, takes_none_if_all_together_free_too_little) {
-  EXPECT_EQ(choose_victim({idle("a", 4, {}, minute), idle("b", 5, {}, minute)},
-                          10, at(minute)),
-            std::nullopt);
+  EXPECT_EQ(
+      choose_eviction({idle("a", 4, {}, minute), idle("b", 5, {}, minute)}, 10,
+                      at(minute)),
+      std::nullopt);
 }
 
 }  // namespace
--- a/test/decide-test/exclusive_admission_test.cpp
+++ b/test/decide-test/exclusive_admission_test.cpp
@@ -18,7 +18,7 @@
 
 admission ready_admission() {
   admission made({});
-  made.take_fence(fence);
+  made.set_fencing_number(fence);
   made.set_slots(4);
   return made;
 }
@@ -66,7 +66,7 @@
   admission at = ready_admission();
   EXPECT_EQ(decide_at(at, offer(1, false), start), result_code::ok);
   EXPECT_EQ(decide_at(at, offer(2, true), start), result_code::server_busy);
-  const time_point later = start + admission::exclusive_hold;
+  const time_point later = start + admission::exclusive_reservation;
   EXPECT_EQ(decide_at(at, offer(3, false), later), result_code::ok);
 }
 
--- a/test/decide-test/grant_change_test.cpp
+++ b/test/decide-test/grant_change_test.cpp
@@ -63,10 +63,12 @@
 }
 
 TEST(grant_change_test, removes_a_gone_server_whatever_its_fence) {
-  const auto removed = remove_gone(granted, holding_server, "valves");
+  const auto removed =
+      remove_grant_of_lost_server(granted, holding_server, "valves");
   ASSERT_TRUE(removed);
   EXPECT_EQ(*removed, (grant_change{elsewhere, emptied_server}));
-  const auto half = remove_gone(granted, empty_server, "valves");
+  const auto half =
+      remove_grant_of_lost_server(granted, empty_server, "valves");
   ASSERT_TRUE(half);
   EXPECT_EQ(half->model_row, elsewhere);
 }
