--- a/test/decide-test/ask_again_test.cpp
+++ b/test/decide-test/hedge_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/ask_again.hpp"
+#include "decide/hedge_schedule.hpp"
 
 #include <gtest/gtest.h>
 #include <optional>
@@ -49,14 +49,14 @@
 
   time_point answer_to_question(time_point asked,
                                 std::uint64_t random_bits) const {
-    ask_again schedule{{}};
-    schedule.begin(asked, wait);
+    hedge_schedule schedule{{}};
+    schedule.on_request_sent(asked, wait);
     std::optional<time_point> best = this->answer_to(asked, wait);
-    while (!best || *best > schedule.next()) {
-      const auto now = schedule.next();
+    while (!best || *best > schedule.next_time()) {
+      const auto now = schedule.next_time();
       const auto answered = this->answer_to(now, milliseconds(0));
       if (answered && (!best || *answered < *best)) best = answered;
-      schedule.on_repeated(now, random_bits);
+      schedule.on_hedge_sent(now, random_bits);
     }
     return *best;
   }
@@ -85,36 +85,36 @@
 }
 
 TEST(ask_again_test, one_late_answer_is_no_outage) {
-  ask_again schedule{{}};
-  schedule.begin(begin, wait);
-  EXPECT_EQ(schedule.next(), begin + wait + milliseconds(500));
-  schedule.on_repeated(schedule.next(), 0);
-  EXPECT_FALSE(schedule.lost());
-  schedule.on_repeated(schedule.next(), 0);
-  EXPECT_TRUE(schedule.lost());
+  hedge_schedule schedule{{}};
+  schedule.on_request_sent(begin, wait);
+  EXPECT_EQ(schedule.next_time(), begin + wait + milliseconds(500));
+  schedule.on_hedge_sent(schedule.next_time(), 0);
+  EXPECT_FALSE(schedule.is_store_lost());
+  schedule.on_hedge_sent(schedule.next_time(), 0);
+  EXPECT_TRUE(schedule.is_store_lost());
 }
 
 TEST(ask_again_test, an_attempt_that_fails_at_once_is_repeated_soon) {
   // The store closes a persistent connection between two polls. This is no
   // outage of the store, and must not delay the next update.
-  ask_again schedule{{}};
-  schedule.begin(begin, wait);
-  schedule.on_failed(begin, 50);
-  EXPECT_EQ(schedule.next(), begin + milliseconds(100));
-  EXPECT_TRUE(schedule.lost());
+  hedge_schedule schedule{{}};
+  schedule.on_request_sent(begin, wait);
+  schedule.on_attempt_failed(begin, 50);
+  EXPECT_EQ(schedule.next_time(), begin + milliseconds(100));
+  EXPECT_TRUE(schedule.is_store_lost());
 }
 
 TEST(ask_again_test, a_store_that_refuses_is_asked_twice_or_thrice_a_second) {
   // A store rejects calls above its rate limit. All processes retry, and
   // together they must stay below that limit.
-  ask_again schedule{{}};
-  schedule.begin(begin, wait);
+  hedge_schedule schedule{{}};
+  schedule.on_request_sent(begin, wait);
   int attempts = 0;
   time_point now = begin;
   while (now < begin + milliseconds(10000)) {
-    schedule.on_failed(now, static_cast<std::uint64_t>(attempts) * 37);
-    now = schedule.next();
-    schedule.on_repeated(now, static_cast<std::uint64_t>(attempts) * 61);
+    schedule.on_attempt_failed(now, static_cast<std::uint64_t>(attempts) * 37);
+    now = schedule.next_time();
+    schedule.on_hedge_sent(now, static_cast<std::uint64_t>(attempts) * 61);
     ++attempts;
   }
   EXPECT_LE(attempts, 34);
@@ -123,14 +123,15 @@
 
 /// \return Number of attempts per second of a process that gets no response.
 double asked_a_second(milliseconds held) {
-  ask_again schedule{{}};
-  schedule.begin(begin, held);
+  hedge_schedule schedule{{}};
+  schedule.on_request_sent(begin, held);
   constexpr int repeats = 1000;
-  const auto first = schedule.next();
+  const auto first = schedule.next_time();
   for (std::uint64_t each = 0; each < repeats; ++each) {
-    schedule.on_repeated(schedule.next(), each * 7919);
+    schedule.on_hedge_sent(schedule.next_time(), each * 7919);
   }
-  return repeats / seconds_of(milliseconds(ms_between(first, schedule.next())));
+  return repeats /
+         seconds_of(milliseconds(ms_between(first, schedule.next_time())));
 }
 
 TEST(ask_again_test, a_silent_store_is_not_flooded_at_the_size_designed_for) {
@@ -146,8 +147,8 @@
 }
 
 TEST(ask_again_test, a_slow_answer_is_waited_for) {
-  ask_again schedule{{}};
-  EXPECT_EQ(schedule.limit(wait), milliseconds(2500));
+  hedge_schedule schedule{{}};
+  EXPECT_EQ(schedule.attempt_timeout(wait), milliseconds(2500));
 }
 
 }  // namespace
--- a/test/decide-test/home_load_test.cpp
+++ b/test/decide-test/home_load_test.cpp
@@ -30,7 +30,7 @@
 }
 
 home home_with_server(std::uint32_t running) {
-  home made(home_settings{}, strike_settings{});
+  home made(home_settings{}, crash_attribution_settings{});
   made.on_catalog(
       catalog(1, {{.name = "assistant", .models = {{.name = "valves"}}}}),
       at(0));
@@ -51,26 +51,27 @@
 // a busy server fills its slots only once per report.
 TEST(home_load_test, gives_freed_places_away_before_the_next_report) {
   home valves = home_with_server(0);
-  ASSERT_TRUE(is_granted(valves.request(ask("r1.1.1"), at(1))));
-  ASSERT_TRUE(is_granted(valves.request(ask("r1.2.1"), at(1))));
+  ASSERT_TRUE(is_granted(valves.request_permit(ask("r1.1.1"), at(1))));
+  ASSERT_TRUE(is_granted(valves.request_permit(ask("r1.2.1"), at(1))));
   valves.on_report(report_at(500, slots), at(500));
-  ASSERT_FALSE(is_granted(valves.request(ask("r1.3.1"), at(510))));
+  ASSERT_FALSE(is_granted(valves.request_permit(ask("r1.3.1"), at(510))));
   valves.take_actions();
 
-  valves.on_done({.attempt = "r1.1.1", .target = "model:valves"}, at(520));
+  valves.on_attempt_end({.attempt = "r1.1.1", .target = "model:valves"},
+                        at(520));
 
   const auto actions = valves.take_actions();
   ASSERT_EQ(actions.size(), 1U);
-  const auto* told = std::get_if<tell_entry>(&actions.front());
+  const auto* told = std::get_if<notify_entry>(&actions.front());
   ASSERT_NE(told, nullptr);
-  EXPECT_EQ(told->answer.attempt, "r1.3.1");
-  EXPECT_TRUE(is_granted(told->answer));
+  EXPECT_EQ(told->response.attempt, "r1.3.1");
+  EXPECT_TRUE(is_granted(told->response));
 }
 
 TEST(home_load_test, counts_what_runs_for_other_homes) {
   home valves = home_with_server(slots - 1);
-  EXPECT_TRUE(is_granted(valves.request(ask("r1.1.1"), at(1))));
-  EXPECT_FALSE(is_granted(valves.request(ask("r1.2.1"), at(1))));
+  EXPECT_TRUE(is_granted(valves.request_permit(ask("r1.1.1"), at(1))));
+  EXPECT_FALSE(is_granted(valves.request_permit(ask("r1.2.1"), at(1))));
 }
 
 }  // namespace boragehill::decide
--- a/test/decide-test/home_test.cpp
+++ b/test/decide-test/home_test.cpp
@@ -27,7 +27,7 @@
   permit_answer ask(const std::string& attempt, milliseconds left = 30 * second,
                     const std::string& fingerprint = "",
                     const std::string& adapter = "") {
-    return h.request(
+    return h.request_permit(
         {.attempt = attempt,
          .entry = {"10.0.0.1", 1},
          .target = target,
@@ -56,12 +56,13 @@
   void done(const std::string& attempt, attempt_outcome outcome,
             const std::string& server = "s1",
             const std::string& fingerprint = "") {
-    h.on_done({.attempt = attempt,
-               .target = target,
-               .server = server,
-               .fingerprint = fingerprint.empty() ? attempt : fingerprint,
-               .outcome = outcome},
-              now);
+    h.on_attempt_end(
+        {.attempt = attempt,
+         .target = target,
+         .server = server,
+         .fingerprint = fingerprint.empty() ? attempt : fingerprint,
+         .outcome = outcome},
+        now);
   }
 
   template <class Action>
@@ -75,9 +76,9 @@
 
   std::vector<std::string> granted() {
     std::vector<std::string> attempts;
-    for (const auto& told : take<tell_entry>()) {
-      if (told.answer.state == permit_state::granted) {
-        attempts.push_back(told.answer.attempt);
+    for (const auto& told : take<notify_entry>()) {
+      if (told.response.state == permit_state::granted) {
+        attempts.push_back(told.response.attempt);
       }
     }
     return attempts;
@@ -99,10 +100,10 @@
   for (int i = 0; i < 30; ++i) {
     EXPECT_EQ(b.ask("e.1." + std::to_string(i)).state, permit_state::queued);
   }
-  EXPECT_EQ(b.take<order_wake>().size(), 1u);
+  EXPECT_EQ(b.take<order_load>().size(), 1u);
   b.report("s1", replica_state::loading, 64);
   b.h.tick(b.now);
-  EXPECT_TRUE(b.take<order_wake>().empty());
+  EXPECT_TRUE(b.take<order_load>().empty());
   b.report("s1", replica_state::ready, 64);
   EXPECT_EQ(b.granted().size(), 30u);
   EXPECT_EQ(b.h.waiting(), 0u);
@@ -165,9 +166,9 @@
   for (int i = 0; i < 200; ++i) {
     b.ask("e.1." + std::to_string(i), 600 * second);
     b.h.tick(b.now);
-    for (const auto& wake : b.take<order_wake>()) {
+    for (const auto& wake : b.take<order_load>()) {
       EXPECT_TRUE(woken.insert(wake.server).second);
-      b.h.on_wake_answer(wake, {.code = 0, .ready_in_ms = 60000}, b.now);
+      b.h.on_load_response(wake, {.code = 0, .ready_in_ms = 60000}, b.now);
     }
   }
   EXPECT_FALSE(woken.contains("s3"));
@@ -182,7 +183,7 @@
   ASSERT_EQ(first.state, permit_state::granted);
   b.now += milliseconds(50);
   EXPECT_EQ(b.ask("a"), first);
-  EXPECT_EQ(b.h.permits_out(), 1u);
+  EXPECT_EQ(b.h.outstanding_permits(), 1u);
   b.ask("b");
   EXPECT_EQ(b.ask("c").state, permit_state::queued) << "both slots are taken";
   EXPECT_EQ(b.ask("c").state, permit_state::queued);
@@ -214,7 +215,7 @@
   EXPECT_TRUE(b.granted().empty()) << "it says that it drains";
   b.report("s1", replica_state::ready);
   EXPECT_EQ(b.granted(), names{"b"});
-  b.h.on_leaving("s1");
+  b.h.on_draining("s1");
   b.report("s1", replica_state::ready);
   EXPECT_EQ(b.ask("c").state, permit_state::queued);
 }
@@ -244,7 +245,7 @@
   b.ask("good.1", 30 * second, "good");
   b.done("bad.1", attempt_outcome::crashed, "s1", "bad");
   b.done("good.1", attempt_outcome::crashed, "s1", "good");
-  EXPECT_TRUE(b.take<share_conviction>().empty());
+  EXPECT_TRUE(b.take<share_quarantine>().empty());
   b.report("s2", replica_state::ready);
   const auto second_try = b.ask("bad.2", 30 * second, "bad");
   EXPECT_EQ(second_try.state, permit_state::granted);
@@ -253,19 +254,20 @@
   EXPECT_EQ(b.ask("new").state, permit_state::queued) << "it runs alone";
   b.h.take_actions();
   b.done("bad.2", attempt_outcome::crashed, "s2", "bad");
-  EXPECT_EQ(b.take<share_conviction>(), std::vector<share_conviction>{{"bad"}});
+  EXPECT_EQ(b.take<share_quarantine>(), std::vector<share_quarantine>{{"bad"}});
   EXPECT_EQ(b.ask("bad.3", 30 * second, "bad").code,
             static_cast<int>(result_code::request_convicted));
   b.now += milliseconds(3001);
   b.report("s2", replica_state::ready);
   b.done("good.2", attempt_outcome::answered, "s2", "good");
   b.h.tick(b.now);
-  EXPECT_EQ(b.h.struck().size(), 1u) << "success clears the innocent one";
+  EXPECT_EQ(b.h.implicated_requests().size(), 1u)
+      << "success clears the innocent one";
 }
 
 TEST(home_test, refuses_what_another_router_convicted) {
   bench b;
-  b.h.on_conviction("bad", b.now);
+  b.h.on_quarantine("bad", b.now);
   EXPECT_EQ(b.ask("a", second, "bad").state, permit_state::refused);
 }
 
@@ -279,7 +281,7 @@
   b.h.tick(b.now);
   EXPECT_EQ(b.granted(), names{"b"});
   b.ask("c");
-  b.h.on_entry_gone({"10.0.0.1", 1}, b.now);
+  b.h.on_entry_lost({"10.0.0.1", 1}, b.now);
   EXPECT_EQ(b.h.waiting(), 0u);
 }
 
@@ -290,10 +292,10 @@
   b.ask("a", second);
   b.now += milliseconds(4999);
   b.h.tick(b.now);
-  EXPECT_EQ(b.h.permits_out(), 1u);
+  EXPECT_EQ(b.h.outstanding_permits(), 1u);
   b.now += milliseconds(1);
   b.h.tick(b.now);
-  EXPECT_EQ(b.h.permits_out(), 0u);
+  EXPECT_EQ(b.h.outstanding_permits(), 0u);
 }
 
 TEST(home_test, ends_a_waiting_request_at_its_deadline) {
@@ -301,47 +303,47 @@
   b.ask("a", second);
   b.now += second;
   b.h.tick(b.now);
-  const auto told = b.take<tell_entry>();
+  const auto told = b.take<notify_entry>();
   ASSERT_EQ(told.size(), 1u);
-  EXPECT_EQ(told[0].answer.code,
+  EXPECT_EQ(told[0].response.code,
             static_cast<int>(result_code::deadline_passed));
 }
 
 TEST(home_test, orders_a_lost_wake_elsewhere_and_asks_grants_for_the_silent) {
   bench b({}, {.replicas = 2, .max_replicas = 2});
   b.h.on_servers(target, {}, b.now);
-  const auto ahead = b.take<want_grants>();
+  const auto ahead = b.take<request_grants>();
   ASSERT_FALSE(ahead.empty());
-  EXPECT_EQ(ahead[0].number, 2u);
-  EXPECT_TRUE(ahead[0].ahead);
+  EXPECT_EQ(ahead[0].count, 2u);
+  EXPECT_TRUE(ahead[0].is_proactive);
   b.h.on_servers(target, {"s1", "s2"}, b.now);
   b.report("s1", replica_state::cold);
   b.report("s2", replica_state::cold);
   b.ask("a");
-  const auto first = b.take<order_wake>();
+  const auto first = b.take<order_load>();
   ASSERT_EQ(first.size(), 1u);
-  b.h.on_wake_lost(first[0], b.now);
-  const auto again = b.take<order_wake>();
+  b.h.on_load_order_lost(first[0], b.now);
+  const auto again = b.take<order_load>();
   ASSERT_EQ(again.size(), 1u);
   EXPECT_NE(again[0].server, first[0].server);
   b.now += milliseconds(5001);
   b.report("s2", replica_state::cold);
   b.h.tick(b.now);
-  const auto asked = b.take<want_grants>();
+  const auto asked = b.take<request_grants>();
   ASSERT_FALSE(asked.empty());
-  EXPECT_EQ(asked[0].number, 3u);
-  EXPECT_FALSE(asked[0].ahead);
-  EXPECT_EQ(asked[0].not_counted, names{"s1"});
+  EXPECT_EQ(asked[0].count, 3u);
+  EXPECT_FALSE(asked[0].is_proactive);
+  EXPECT_EQ(asked[0].uncounted_servers, names{"s1"});
 }
 
 TEST(home_test, follows_the_catalog_in_what_it_keeps_warm) {
   bench b;
   b.h.on_servers(target, {"s1"}, b.now);
   b.report("s1", replica_state::cold);
-  EXPECT_TRUE(b.take<order_wake>().empty());
+  EXPECT_TRUE(b.take<order_load>().empty());
   const profile_model warm{.name = "m", .bytes = 10, .warm = 1};
   b.h.on_catalog(catalog(2, {profile{.name = "p", .models = {warm}}}), b.now);
-  const auto wakes = b.take<order_wake>();
+  const auto wakes = b.take<order_load>();
   ASSERT_EQ(wakes.size(), 1u);
   EXPECT_LT(wakes[0].order.keep_warm_ms, 0);
   b.h.on_catalog(catalog(3, {}), b.now);
@@ -354,7 +356,7 @@
   b.report("s1", replica_state::ready);
   EXPECT_EQ(b.ask("a", 30 * second, "", "x").state, permit_state::queued);
   b.ask("b", 30 * second, "", "x");
-  const auto wakes = b.take<order_wake>();
+  const auto wakes = b.take<order_load>();
   ASSERT_EQ(wakes.size(), 1u);
   EXPECT_EQ(wakes[0].order.adapter, "x");
   EXPECT_EQ(b.ask("base").state, permit_state::granted);
--- a/test/decide-test/keep_warm_test.cpp
+++ b/test/decide-test/keep_warm_test.cpp
@@ -26,17 +26,18 @@
   gap_histogram gaps;
   for (int i = 0; i < 9; ++i) gaps.add(milliseconds(900));
   gaps.add(std::chrono::hours(2));
-  const histogram_rule rule{.share = 0.9, .most = std::chrono::hours(1)};
+  const histogram_rule rule{.quantile = 0.9,
+                            .max_keep_warm = std::chrono::hours(1)};
   EXPECT_EQ(keep_warm_time(rule, load, gaps), milliseconds(1024));
   EXPECT_EQ(keep_warm_time(rule, load, {}), std::chrono::hours(1));
 }
 
 TEST(keep_warm_test, a_negative_time_never_passes) {
   const time_point late = time_point(std::chrono::hours(1000));
-  EXPECT_FALSE(past_keep_warm(milliseconds(-1), time_point{}, late));
-  EXPECT_TRUE(past_keep_warm(load, time_point{}, time_point(load)));
-  EXPECT_FALSE(
-      past_keep_warm(load, time_point{}, time_point(load - milliseconds(1))));
+  EXPECT_FALSE(is_past_keep_warm(milliseconds(-1), time_point{}, late));
+  EXPECT_TRUE(is_past_keep_warm(load, time_point{}, time_point(load)));
+  EXPECT_FALSE(is_past_keep_warm(load, time_point{},
+                                 time_point(load - milliseconds(1))));
 }
 
 }  // namespace
--- a/test/decide-test/memory_ledger_test.cpp
+++ b/test/decide-test/memory_ledger_test.cpp
@@ -31,7 +31,7 @@
 
 TEST(memory_ledger_test, has_nothing_free_when_an_engine_holds_too_much) {
   memory_ledger ledger(100);
-  ledger.adopt("a", 120);
+  ledger.set_reservation("a", 120);
   EXPECT_EQ(ledger.free(), 0U);
   EXPECT_FALSE(ledger.reserve("b", 1));
 }
--- a/test/decide-test/placement_choice_test.cpp
+++ b/test/decide-test/placement_choice_test.cpp
@@ -16,7 +16,7 @@
 
 using names = std::vector<std::string>;
 
-server_view server_in(const std::string& id, const std::string& domain) {
+placement_server server_in(const std::string& id, const std::string& domain) {
   return {.id = id,
           .failure_domain = domain,
           .region = "texas",
@@ -25,46 +25,46 @@
 }
 
 TEST(placement_choice_test, spreads_before_it_follows_the_checkpoint) {
-  server_view cached = server_in("s2", "a");
+  placement_server cached = server_in("s2", "a");
   cached.tier = checkpoint_tier::memory;
   const placement_request request{
       .model = "m",
       .bytes = 60,
-      .wanted = 2,
-      .current = {"s1"},
+      .wanted_grants = 2,
+      .granted_servers = {"s1"},
       .servers = {server_in("s1", "a"), cached, server_in("s3", "b")}};
-  EXPECT_EQ(choose_servers(request), names{"s3"});
+  EXPECT_EQ(choose_grant_servers(request), names{"s3"});
 }
 
 TEST(placement_choice_test, prefers_the_checkpoint_then_the_least_granted) {
-  server_view granted = server_in("s1", "a");
+  placement_server granted = server_in("s1", "a");
   granted.granted_bytes = 300;
-  server_view cached = granted;
+  placement_server cached = granted;
   cached.id = "s2";
   cached.tier = checkpoint_tier::disk;
   placement_request request{.model = "m",
                             .bytes = 60,
                             .servers = {server_in("s3", "a"), granted, cached}};
-  EXPECT_EQ(choose_servers(request), names{"s2"});
+  EXPECT_EQ(choose_grant_servers(request), names{"s2"});
   request.servers.pop_back();
-  EXPECT_EQ(choose_servers(request), names{"s3"});
+  EXPECT_EQ(choose_grant_servers(request), names{"s3"});
 }
 
 TEST(placement_choice_test, replaces_a_suspected_server_within_the_most) {
   // The replica of a server that stopped responding may still be loaded, so its
   // grant is kept. A further grant restores the model, up to the configured
   // maximum.
-  server_view silent = server_in("s1", "a");
+  placement_server silent = server_in("s1", "a");
   silent.suspected = true;
   placement_request request{.model = "m",
                             .bytes = 60,
-                            .wanted = 1,
-                            .most = 2,
-                            .current = {"s1"},
+                            .wanted_grants = 1,
+                            .max_grants = 2,
+                            .granted_servers = {"s1"},
                             .servers = {silent, server_in("s2", "b")}};
-  EXPECT_EQ(choose_servers(request), names{"s2"});
-  request.most = 1;
-  EXPECT_TRUE(choose_servers(request).empty());
+  EXPECT_EQ(choose_grant_servers(request), names{"s2"});
+  request.max_grants = 1;
+  EXPECT_TRUE(choose_grant_servers(request).empty());
 }
 
 TEST(placement_choice_test, stays_even_and_takes_no_unfit_server) {
@@ -73,12 +73,12 @@
     placement_request request{
         .model = "m",
         .bytes = 60,
-        .wanted = static_cast<std::uint32_t>(1 + random() % 12)};
+        .wanted_grants = static_cast<std::uint32_t>(1 + random() % 12)};
     std::map<std::string, std::size_t> grants;
     std::map<std::string, std::size_t> room;
     for (unsigned i = 0; i < 20; ++i) {
       const std::string domain(1, static_cast<char>('a' + random() % 4));
-      server_view server = server_in("s" + std::to_string(i), domain);
+      placement_server server = server_in("s" + std::to_string(i), domain);
       server.granted_bytes = random() % 500;
       server.draining = random() % 5 == 0;
       server.suspected = random() % 5 == 0;
@@ -91,12 +91,12 @@
     }
     const std::size_t fit_servers =
         room["a"] + room["b"] + room["c"] + room["d"];
-    const names chosen = choose_servers(request);
+    const names chosen = choose_grant_servers(request);
     ASSERT_EQ(chosen.size(),
-              std::min<std::size_t>(request.wanted, fit_servers));
+              std::min<std::size_t>(request.wanted_grants, fit_servers));
     for (const std::string& id : chosen) {
       const auto& server =
-          *std::ranges::find(request.servers, id, &server_view::id);
+          *std::ranges::find(request.servers, id, &placement_server::id);
       ASSERT_FALSE(server.draining || server.suspected);
       ASSERT_GE(server.capacity_bytes, request.bytes);
       grants[server.failure_domain] += 1;
@@ -104,14 +104,14 @@
     }
     ASSERT_TRUE(invariants::grants_spread(grants, room)) << "seed " << seed;
     std::ranges::shuffle(request.servers, random);
-    ASSERT_EQ(choose_servers(request), chosen) << "seed " << seed;
+    ASSERT_EQ(choose_grant_servers(request), chosen) << "seed " << seed;
   }
 }
 
 TEST(placement_choice_test, wakes_the_replica_that_is_ready_soonest) {
   using wire::replica_state;
   // In order of preference.
-  const std::vector<wake_view> ranked{
+  const std::vector<load_candidate> ranked{
       {.server = "ready", .state = replica_state::ready},
       {.server = "soon",
        .state = replica_state::loading,
@@ -127,15 +127,16 @@
        .evictable_bytes = 50},
       {.server = "remote", .free_bytes = 60},
       {.server = "busy", .tier = checkpoint_tier::memory, .free_bytes = 59}};
-  wake_request request{.model = "m", .bytes = 60, .servers = ranked};
-  std::ranges::reverse(request.servers);
-  for (const wake_view& best : ranked) {
-    EXPECT_EQ(choose_replica_to_wake(request), best.server);
-    request.servers.pop_back();
+  load_placement_request request{
+      .model = "m", .bytes = 60, .candidates = ranked};
+  std::ranges::reverse(request.candidates);
+  for (const load_candidate& best : ranked) {
+    EXPECT_EQ(choose_load_server(request), best.server);
+    request.candidates.pop_back();
   }
-  EXPECT_EQ(choose_replica_to_wake(request), std::nullopt);
-  request.servers = {{.server = "down", .usable = false}};
-  EXPECT_EQ(choose_replica_to_wake(request), std::nullopt);
+  EXPECT_EQ(choose_load_server(request), std::nullopt);
+  request.candidates = {{.server = "down", .usable = false}};
+  EXPECT_EQ(choose_load_server(request), std::nullopt);
 }
 
 }  // namespace
--- a/test/decide-test/unread_limits_test.cpp
+++ b/test/decide-test/prompt_backlog_limits_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/unread_limits.hpp"
+#include "decide/prompt_backlog_limits.hpp"
 
 #include <gtest/gtest.h>
 #include <vector>
@@ -20,21 +20,21 @@
 
   bool send(int router, int tokens) {
     const int limit =
-        this->limits.of_router(false, static_cast<int>(this->views.size()));
+        this->limits.router_limit(false, static_cast<int>(this->views.size()));
     auto& view = this->views[router];
     if (!choose_server({view}, 0.25, limit, 0)) return false;
     ++view.own_requests;
-    view.unread_tokens += tokens;
+    view.prompt_backlog_tokens += tokens;
     return true;
   }
 
   int unread() const {
     int sum = 0;
-    for (const auto& each : this->views) sum += each.unread_tokens;
+    for (const auto& each : this->views) sum += each.prompt_backlog_tokens;
     return sum;
   }
 
-  unread_limits limits;
+  prompt_backlog_limits limits;
 
  private:
   std::vector<server_candidate> views;
@@ -50,8 +50,9 @@
   for (int each = 0; each < 100; ++each) {
     worker.send(each % routers, short_prompt);
   }
-  EXPECT_GE(worker.unread(), worker.limits.at_server);
-  EXPECT_LE(worker.unread(), worker.limits.at_server + routers * short_prompt);
+  EXPECT_GE(worker.unread(), worker.limits.server_tokens);
+  EXPECT_LE(worker.unread(),
+            worker.limits.server_tokens + routers * short_prompt);
 }
 
 TEST(unread_limits_test, nothing_is_sent_behind_a_long_prompt) {
@@ -73,10 +74,10 @@
 }
 
 TEST(unread_limits_test, late_requests_never_may_have_more) {
-  const unread_limits limits;
+  const prompt_backlog_limits limits;
   for (int routers = 0; routers < 400; ++routers) {
-    EXPECT_LE(limits.of_router(true, routers),
-              limits.of_router(false, routers));
+    EXPECT_LE(limits.router_limit(true, routers),
+              limits.router_limit(false, routers));
   }
 }
 
--- a/test/decide-test/rendezvous_test.cpp
+++ b/test/decide-test/rendezvous_test.cpp
@@ -24,16 +24,16 @@
 }
 
 TEST(rendezvous_test, returns_no_more_than_there_are) {
-  EXPECT_EQ(home_order("model:m", routers_named(3), 2).size(), 2U);
-  EXPECT_EQ(home_order("model:m", routers_named(3), 9).size(), 3U);
-  EXPECT_TRUE(home_order("model:m", {}, 2).empty());
+  EXPECT_EQ(rank_homes("model:m", routers_named(3), 2).size(), 2U);
+  EXPECT_EQ(rank_homes("model:m", routers_named(3), 9).size(), 3U);
+  EXPECT_TRUE(rank_homes("model:m", {}, 2).empty());
 }
 
 TEST(rendezvous_test, spreads_targets_evenly) {
   std::map<std::string, int> homes;
   const auto routers = routers_named(10);
   for (int i = 0; i < 10000; ++i) {
-    homes[home_order("model:" + std::to_string(i), routers, 1).front()] += 1;
+    homes[rank_homes("model:" + std::to_string(i), routers, 1).front()] += 1;
   }
   for (const auto& [router, count] : homes) {
     EXPECT_NEAR(count, 1000, 150) << router;
@@ -44,13 +44,13 @@
               (const std::string& target)) {
   const int count = *rc::gen::inRange(2, 30);
   auto routers = routers_named(count);
-  const auto before = home_order(target, routers, routers.size());
+  const auto before = rank_homes(target, routers, routers.size());
   const auto removed = before[*rc::gen::inRange<std::size_t>(0, before.size())];
   std::erase(routers, removed);
   std::reverse(routers.begin(), routers.end());
   auto expected = before;
   std::erase(expected, removed);
-  RC_ASSERT(home_order(target, routers, routers.size()) == expected);
+  RC_ASSERT(rank_homes(target, routers, routers.size()) == expected);
 }
 
 }  // namespace
--- a/test/decide-test/view_filter_test.cpp
+++ b/test/decide-test/request_count_filter_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/view_filter.hpp"
+#include "decide/request_count_filter.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,12 +6,12 @@
 namespace {
 
 TEST(view_filter_test, tells_only_what_changes_a_choice) {
-  EXPECT_FALSE(worth_telling(0, 2));
-  EXPECT_TRUE(worth_telling(0, 3));
-  EXPECT_FALSE(worth_telling(20, 23));
-  EXPECT_TRUE(worth_telling(20, 25));
-  EXPECT_TRUE(worth_telling(20, 15));
-  EXPECT_TRUE(worth_telling(5, 0));
+  EXPECT_FALSE(is_significant_change(0, 2));
+  EXPECT_TRUE(is_significant_change(0, 3));
+  EXPECT_FALSE(is_significant_change(20, 23));
+  EXPECT_TRUE(is_significant_change(20, 25));
+  EXPECT_TRUE(is_significant_change(20, 15));
+  EXPECT_TRUE(is_significant_change(5, 0));
 }
 
 TEST(view_filter_test, a_busy_fleet_tells_a_fraction_of_its_changes) {
@@ -22,7 +22,7 @@
   int requests = 10;
   for (int step = 0; step < 1000; ++step) {
     requests += step % 4 < 2 ? 1 : -1;
-    if (!worth_telling(told, requests)) continue;
+    if (!is_significant_change(told, requests)) continue;
     told = requests;
     ++news;
   }
--- a/test/decide-test/request_flow_test.cpp
+++ b/test/decide-test/request_flow_test.cpp
@@ -19,7 +19,7 @@
           .sequence = 1,
           .target = "model:m",
           .non_idempotent = non_idempotent,
-          .keyed = keyed,
+          .has_idempotency_key = keyed,
           .deadline = start + wait};
 }
 
@@ -50,12 +50,12 @@
 TEST(request_flow_test, asks_home_dispatches_and_delivers) {
   auto flow = flow_of(asked(false));
   const auto first = flow.begin(start);
-  EXPECT_EQ(as<ask_home>(first).ask.attempt, "e.1.1");
-  EXPECT_EQ(as<ask_home>(first).ask.time_left_ms, wait.count());
+  EXPECT_EQ(as<request_permit>(first).request.attempt, "e.1.1");
+  EXPECT_EQ(as<request_permit>(first).request.time_left_ms, wait.count());
   EXPECT_EQ(as<dispatch>(flow.on_permit(granted("s1"), start)).permit.server,
             "s1");
   EXPECT_TRUE(
-      is_final(flow.on_attempt({.ending = attempt_ending::whole}, start)));
+      is_final(flow.on_attempt({.ending = attempt_ending::complete}, start)));
 }
 
 TEST(request_flow_test, writes_a_claim_before_a_keyed_run_and_else_refuses) {
@@ -63,9 +63,9 @@
   flow.begin(start);
   EXPECT_TRUE(std::holds_alternative<write_claim>(
       flow.on_permit(granted("s1"), start)));
-  const auto step = flow.on_claim(result_code::platform_down, start);
-  EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::no);
-  EXPECT_EQ(as<give_up>(step).answer.code, result_code::platform_down);
+  const auto step = flow.on_claim_written(result_code::platform_down, start);
+  EXPECT_EQ(as<refuse_request>(step).response.ran, ran_state::no);
+  EXPECT_EQ(as<refuse_request>(step).response.code, result_code::platform_down);
 }
 
 TEST(request_flow_test, takes_a_new_attempt_number_after_a_lost_home) {
@@ -74,33 +74,35 @@
   auto flow = flow_of(asked(false));
   flow.begin(start);
   const auto next = flow.on_home_lost(start);
-  EXPECT_EQ(as<ask_home>(next).ask.attempt, "e.1.2");
-  EXPECT_EQ(as<ask_home>(next).rank, 1u);
-  EXPECT_TRUE(as<ask_home>(next).ask.passed_on);
+  EXPECT_EQ(as<request_permit>(next).request.attempt, "e.1.2");
+  EXPECT_EQ(as<request_permit>(next).rank, 1u);
+  EXPECT_TRUE(as<request_permit>(next).request.passed_on);
   flow.on_home_lost(start);
-  const auto last = as<give_up>(flow.on_home_lost(start)).answer;
+  const auto last = as<refuse_request>(flow.on_home_lost(start)).response;
   EXPECT_EQ(last.code, result_code::home_unreachable);
   EXPECT_EQ(last.ran, ran_state::no);
 }
 
 TEST(request_flow_test, retries_an_idempotent_run_elsewhere) {
   auto flow = flow_of(asked(false));
-  const auto pause =
-      attempt_ends(flow, {.ending = attempt_ending::broken, .crashed = true});
+  const auto pause = attempt_ends(
+      flow, {.ending = attempt_ending::interrupted, .server_crashed = true});
   ASSERT_TRUE(std::holds_alternative<pause_until>(pause));
   const auto again = flow.on_pause_over(as<pause_until>(pause).until);
-  EXPECT_EQ(as<ask_home>(again).ask.excluded, std::vector<std::string>{"s1"});
-  EXPECT_EQ(as<ask_home>(again).ask.crashes, 1u);
+  EXPECT_EQ(as<request_permit>(again).request.excluded,
+            std::vector<std::string>{"s1"});
+  EXPECT_EQ(as<request_permit>(again).request.crashes, 1u);
 }
 
 TEST(request_flow_test, says_unknown_when_the_budget_ends_after_a_run) {
   auto flow = flow_of(asked(false), false);
-  const auto step = attempt_ends(flow, {.ending = attempt_ending::broken});
-  EXPECT_EQ(as<give_up>(step).answer.code, result_code::retry_budget_spent);
-  EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::unknown);
+  const auto step = attempt_ends(flow, {.ending = attempt_ending::interrupted});
+  EXPECT_EQ(as<refuse_request>(step).response.code,
+            result_code::retry_budget_spent);
+  EXPECT_EQ(as<refuse_request>(step).response.ran, ran_state::unknown);
   auto unsent = flow_of(asked(false), false);
-  const auto no = attempt_ends(unsent, {.ending = attempt_ending::never_sent});
-  EXPECT_EQ(as<give_up>(no).answer.ran, ran_state::no);
+  const auto no = attempt_ends(unsent, {.ending = attempt_ending::not_sent});
+  EXPECT_EQ(as<refuse_request>(no).response.ran, ran_state::no);
 }
 
 TEST(request_flow_test, outwaits_a_busy_server_until_its_deadline) {
@@ -123,28 +125,29 @@
     step = flow.on_pause_over(now);
   }
   EXPECT_GT(refusals, 8);
-  EXPECT_EQ(as<give_up>(step).answer.code, result_code::deadline_passed);
-  EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::no);
+  EXPECT_EQ(as<refuse_request>(step).response.code,
+            result_code::deadline_passed);
+  EXPECT_EQ(as<refuse_request>(step).response.ran, ran_state::no);
   EXPECT_LE(now, start + wait + milliseconds(100));
 }
 
 TEST(request_flow_test, counts_other_failures_as_attempts) {
   auto flow = flow_of(asked(false), true, {.max_attempts = 2});
-  attempt_ends(flow, {.ending = attempt_ending::never_sent});
+  attempt_ends(flow, {.ending = attempt_ending::not_sent});
   flow.on_pause_over(start);
   flow.on_permit(granted("s1"), start);
   const auto last = flow.on_attempt(
       {.ending = attempt_ending::refused, .code = result_code::draining},
       start);
-  EXPECT_EQ(as<give_up>(last).answer.code, result_code::draining);
+  EXPECT_EQ(as<refuse_request>(last).response.code, result_code::draining);
 }
 
 TEST(request_flow_test, never_repeats_once_parts_went_to_the_caller) {
   auto flow = flow_of(asked(false));
-  const auto step = attempt_ends(flow, {.ending = attempt_ending::broken,
+  const auto step = attempt_ends(flow, {.ending = attempt_ending::interrupted,
                                         .code = result_code::answer_broken,
-                                        .passed_on = true});
-  EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::unknown);
+                                        .partly_forwarded = true});
+  EXPECT_EQ(as<refuse_request>(step).response.ran, ran_state::unknown);
 }
 
 TEST(request_flow_test, asks_for_the_fate_of_a_broken_non_idempotent_run) {
@@ -155,24 +158,25 @@
                             attempt_status::ended, attempt_status::broken,
                             attempt_status::forgotten}) {
     auto flow = flow_of(asked(true));
-    const auto ask = attempt_ends(flow, {.ending = attempt_ending::broken});
-    ASSERT_TRUE(std::holds_alternative<ask_fate>(ask));
-    const auto step = flow.on_fate(status, start);
+    const auto ask =
+        attempt_ends(flow, {.ending = attempt_ending::interrupted});
+    ASSERT_TRUE(std::holds_alternative<query_attempt_status>(ask));
+    const auto step = flow.on_attempt_status(status, start);
     const bool pauses = status == attempt_status::never_ran ||
                         status == attempt_status::running;
     EXPECT_EQ(std::holds_alternative<pause_until>(step), pauses);
-    EXPECT_EQ(std::holds_alternative<fetch_kept>(step),
+    EXPECT_EQ(std::holds_alternative<fetch_stored_response>(step),
               status == attempt_status::ended);
-    if (const auto* end = std::get_if<give_up>(&step)) {
-      EXPECT_EQ(end->answer.ran, ran_state::unknown);
-      EXPECT_EQ(end->answer.code, result_code::outcome_unknown);
+    if (const auto* end = std::get_if<refuse_request>(&step)) {
+      EXPECT_EQ(end->response.ran, ran_state::unknown);
+      EXPECT_EQ(end->response.code, result_code::outcome_unknown);
     }
   }
 }
 
 TEST(request_flow_test, stops_asking_an_agent_that_stays_silent) {
   auto flow = flow_of(asked(true));
-  flow_step step = attempt_ends(flow, {.ending = attempt_ending::broken});
+  flow_step step = attempt_ends(flow, {.ending = attempt_ending::interrupted});
   int asks = 0;
   time_point now = start;
   while (!is_final(step)) {
@@ -182,10 +186,10 @@
       continue;
     }
     ++asks;
-    step = flow.on_fate(std::nullopt, now);
+    step = flow.on_attempt_status(std::nullopt, now);
   }
   EXPECT_EQ(asks, 3);
-  EXPECT_EQ(as<give_up>(step).answer.ran, ran_state::unknown);
+  EXPECT_EQ(as<refuse_request>(step).response.ran, ran_state::unknown);
 }
 
 /// Drives a request_flow with random events and records what actually ran.
@@ -209,9 +213,9 @@
     return step;
   }
 
-  flow_step on(const ask_home& step) {
-    EXPECT_TRUE(this->asked.insert(step.ask.attempt).second);
-    EXPECT_GT(step.ask.time_left_ms, 0);
+  flow_step on(const request_permit& step) {
+    EXPECT_TRUE(this->asked.insert(step.request.attempt).second);
+    EXPECT_GT(step.request.time_left_ms, 0);
     if (this->one_in(4)) return this->flow.on_home_lost(this->now);
     permit_answer answer = granted("s" + std::to_string(this->random() % 3));
     if (this->one_in(4)) answer.state = permit_state::queued;
@@ -226,9 +230,9 @@
     return this->flow.on_permit(granted("s1"), this->now);
   }
   flow_step on(const write_claim& step) {
-    EXPECT_TRUE(this->request.keyed);
+    EXPECT_TRUE(this->request.has_idempotency_key);
     this->claimed = step.attempt.to_string();
-    return this->flow.on_claim(
+    return this->flow.on_claim_written(
         this->one_in(8) ? result_code::platform_down : result_code::ok,
         this->now);
   }
@@ -237,7 +241,7 @@
     const std::string id = step.attempt.to_string();
     this->sent = step.attempt;
     EXPECT_TRUE(this->dispatched.insert(id).second);
-    if (this->request.keyed) {
+    if (this->request.has_idempotency_key) {
       EXPECT_EQ(this->claimed, id);
     }
     if (this->request.non_idempotent) {
@@ -245,34 +249,35 @@
     }
     attempt_result result{.ending =
                               static_cast<attempt_ending>(this->random() % 5)};
-    this->here = result.ending == attempt_ending::whole;
+    this->here = result.ending == attempt_ending::complete;
     if (result.ending == attempt_ending::refused && this->one_in(2)) {
       result.code = result_code::server_busy;
     }
-    if (result.ending == attempt_ending::broken) {
+    if (result.ending == attempt_ending::interrupted) {
       this->here = this->one_in(2);
-      result.crashed = this->here && this->one_in(4);
-      result.passed_on = this->here && this->one_in(4);
+      result.server_crashed = this->here && this->one_in(4);
+      result.partly_forwarded = this->here && this->one_in(4);
     }
-    if (result.ending == attempt_ending::caller_gone) {
+    if (result.ending == attempt_ending::caller_disconnected) {
       this->here = this->one_in(2);
     }
     this->runs += this->here ? 1 : 0;
     return this->flow.on_attempt(result, this->now);
   }
-  flow_step on(const ask_fate& step) {
+  flow_step on(const query_attempt_status& step) {
     EXPECT_EQ(step.attempt, this->sent);
-    if (this->one_in(3)) return this->flow.on_fate(std::nullopt, this->now);
+    if (this->one_in(3))
+      return this->flow.on_attempt_status(std::nullopt, this->now);
     // An agent reports `never_ran` only for an attempt that can't run later.
     auto status = attempt_status::never_ran;
     if (this->here) {
       status = static_cast<attempt_status>(1 + this->random() % 4);
     }
-    return this->flow.on_fate(status, this->now);
+    return this->flow.on_attempt_status(status, this->now);
   }
-  flow_step on(const fetch_kept&) {
+  flow_step on(const fetch_stored_response&) {
     EXPECT_TRUE(this->here);
-    return this->flow.on_kept(!this->one_in(3), this->now);
+    return this->flow.on_stored_response(!this->one_in(3), this->now);
   }
   flow_step on(const pause_until& step) {
     EXPECT_LE(step.until, this->request.deadline);
@@ -280,7 +285,7 @@
     return this->flow.on_pause_over(this->now);
   }
   flow_step on(const delivered& step) { return step; }
-  flow_step on(const give_up& step) { return step; }
+  flow_step on(const refuse_request& step) { return step; }
 
   std::mt19937 random;
   flow_request request;
@@ -311,11 +316,11 @@
     if (once) {
       EXPECT_LE(around.runs, 1);
     }
-    const auto* refusal = std::get_if<give_up>(&end);
+    const auto* refusal = std::get_if<refuse_request>(&end);
     (refusal != nullptr ? refused : answered) += 1;
     if (refusal == nullptr) {
       EXPECT_GE(around.runs, 1);
-    } else if (refusal->answer.ran == ran_state::no) {
+    } else if (refusal->response.ran == ran_state::no) {
       EXPECT_EQ(around.runs, 0);
     }
     if (::testing::Test::HasFailure()) return;
--- a/test/decide-test/residency_planner_test.cpp
+++ b/test/decide-test/residency_planner_test.cpp
@@ -55,28 +55,29 @@
   }
 
   void demand(std::vector<model_demand> demands,
-              std::vector<model_flight> flights = {}) {
-    this->planner.on_demand(
-        "r1", {.demands = std::move(demands), .flights = std::move(flights)},
+              std::vector<model_in_flight> flights = {}) {
+    this->planner.on_demand_report(
+        "r1", {.demands = std::move(demands), .in_flight = std::move(flights)},
         this->now);
   }
 
   void demand_of(const std::string& router, std::vector<model_demand> demands,
-                 std::vector<model_flight> flights) {
-    this->planner.on_demand(
-        router, {.demands = std::move(demands), .flights = std::move(flights)},
+                 std::vector<model_in_flight> flights) {
+    this->planner.on_demand_report(
+        router,
+        {.demands = std::move(demands), .in_flight = std::move(flights)},
         this->now);
   }
 
   /// Router r1 reports some workers as unresponsive.
   void silent(const std::vector<std::string>& workers,
               std::vector<model_demand> demands,
-              std::vector<model_flight> flights) {
-    this->planner.on_demand("r1",
-                            {.demands = std::move(demands),
-                             .flights = std::move(flights),
-                             .silent = workers},
-                            this->now);
+              std::vector<model_in_flight> flights) {
+    this->planner.on_demand_report("r1",
+                                   {.demands = std::move(demands),
+                                    .in_flight = std::move(flights),
+                                    .unresponsive_servers = workers},
+                                   this->now);
   }
 
   void step() { this->planner.step(this->now); }
@@ -96,14 +97,15 @@
   std::set<std::string> workers_for(const std::string& model) const {
     std::set<std::string> found;
     for (const auto& [id, worker] : this->planner.workers()) {
-      if (worker.meant_for(model)) found.insert(id);
+      if (worker.has_target_model(model)) found.insert(id);
     }
     return found;
   }
 
   /// The store serves four loads at full speed, and the planner knows this from
   /// the start.
-  residency_planner planner{planner_settings{.store_loads = store_loads}};
+  residency_planner planner{
+      planner_settings{.initial_store_loads = store_loads}};
   fleet::server_list list;
   std::map<std::string, fleet::worker_report> reports;
   time_point now{std::chrono::seconds(100)};
@@ -114,7 +116,7 @@
           .model = model,
           .arrivals = count,
           .waiting = count,
-          .worth = static_cast<double>(count)};
+          .weight = static_cast<double>(count)};
 }
 
 TEST(residency_planner_test, wakes_a_model_where_its_copy_is_at_hand) {
@@ -164,7 +166,7 @@
   fleet.report();
   for (int step = 0; step < 10; ++step) {
     const auto holders = fleet.workers_for("m0");
-    std::vector<model_flight> flights;
+    std::vector<model_in_flight> flights;
     flights.reserve(holders.size());
     for (const auto& each : holders) {
       flights.push_back(
@@ -188,13 +190,13 @@
   fleet.hold("w2", {"m6", "m7", "m8"});
   fleet.report();
   auto asked = waiting("m0", 20);
-  asked.oldest = milliseconds(100);
+  asked.oldest_wait = milliseconds(100);
   fleet.now += std::chrono::seconds(2);
   fleet.report();
   fleet.demand({asked}, {{"w0", "m0", {}, 40}});
   fleet.step();
   EXPECT_EQ(fleet.workers_for("m0").size(), 1U);
-  asked.oldest = milliseconds(600);
+  asked.oldest_wait = milliseconds(600);
   fleet.demand({asked}, {{"w0", "m0", {}, 40}});
   fleet.step();
   EXPECT_GT(fleet.workers_for("m0").size(), 1U);
@@ -206,7 +208,7 @@
   // the demand for the busy model becomes visible.
   planned_fleet fleet(8, 20);
   fleet.report();
-  fleet.planner.begin(fleet.now);
+  fleet.planner.start(fleet.now);
   fleet.report();
   std::vector<model_demand> asked;
   asked.reserve(7);
@@ -255,7 +257,7 @@
   fleet.step();
   int loads = 0;
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    if (worker.pending) ++loads;
+    if (worker.pending_load) ++loads;
   }
   EXPECT_EQ(loads, planned_fleet::store_loads);
 }
@@ -267,7 +269,7 @@
   fleet.hold("w0", {"m0"});
   fleet.copies_on_disk("w1", {"m0"});
   fleet.report();
-  fleet.planner.on_unreachable("w0");
+  fleet.planner.on_worker_unreachable("w0");
   fleet.demand({waiting("m0")});
   fleet.step();
   EXPECT_EQ(fleet.workers_for("m0"), std::set<std::string>{"w1"});
@@ -336,10 +338,10 @@
   fleet.step();
   int from_store = 0;
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    if (worker.pending && worker.pending->from_store) ++from_store;
+    if (worker.pending_load && worker.pending_load->from_store) ++from_store;
   }
   EXPECT_EQ(from_store, 3);
-  EXPECT_FALSE(fleet.planner.workers().at("w0").pending->from_store);
+  EXPECT_FALSE(fleet.planner.workers().at("w0").pending_load->from_store);
 }
 
 TEST(residency_planner_test, loads_one_by_one_from_a_store_that_serves_one) {
@@ -366,12 +368,12 @@
   fleet.demand(storm);
   fleet.step();
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    if (worker.pending) fleet.reports[id].busy = true;
+    if (worker.pending_load) fleet.reports[id].busy = true;
   }
   // Four loads on a store that serves one: after the nominal 6 s the planner
   // detects it.
   pass(milliseconds(6500));
-  const auto& expected = fleet.planner.expected();
+  const auto& expected = fleet.planner.expected_ready_times();
   ASSERT_TRUE(expected.contains("m0"));
   ASSERT_TRUE(expected.contains("m5"));
   EXPECT_GT(expected.at("m0"), fleet.now + milliseconds(5000));
@@ -382,7 +384,7 @@
   fleet.step();
   int from_store = 0;
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    if (worker.pending && worker.pending->from_store) ++from_store;
+    if (worker.pending_load && worker.pending_load->from_store) ++from_store;
   }
   EXPECT_EQ(from_store, 1);
 }
@@ -399,13 +401,13 @@
   fleet.report();
   fleet.demand({waiting("m0")});
   fleet.step();
-  ASSERT_TRUE(fleet.planner.workers().at("w0").pending);
+  ASSERT_TRUE(fleet.planner.workers().at("w0").pending_load);
   fleet.reports["w0"].busy = true;
   for (int tenths = 0; tenths < 62; ++tenths) {
     fleet.report();
     fleet.demand({waiting("m0")});
     fleet.step();
-    const auto& expected = fleet.planner.expected();
+    const auto& expected = fleet.planner.expected_ready_times();
     ASSERT_TRUE(expected.contains("m0"));
     EXPECT_LE(expected.at("m0"), fleet.now + milliseconds(6300 - 100 * tenths))
         << tenths;
@@ -449,7 +451,7 @@
   fleet.demand({});
   fleet.step();
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    EXPECT_FALSE(worker.pending) << id;
+    EXPECT_FALSE(worker.pending_load) << id;
   }
 }
 
@@ -459,7 +461,7 @@
   // store that started in between delayed its callers by 6 s.
   planned_fleet fleet(2, 8);
   fleet.copies_on_disk("w1", {"m0"});
-  fleet.planner.begin(fleet.now);
+  fleet.planner.start(fleet.now);
   fleet.planner.on_report("w0", fleet.reports["w0"], fleet.now);
   fleet.demand({waiting("m0")});
   fleet.step();
@@ -482,13 +484,13 @@
   fleet.step();
   ASSERT_EQ(fleet.workers_for("m0").size(), 2U);
   fleet.step();
-  EXPECT_FALSE(fleet.planner.expected().contains("m0"));
-  EXPECT_TRUE(fleet.planner.expected().contains("m1"));
+  EXPECT_FALSE(fleet.planner.expected_ready_times().contains("m0"));
+  EXPECT_TRUE(fleet.planner.expected_ready_times().contains("m1"));
 }
 
 TEST(residency_planner_test, a_new_planner_does_not_wait_for_ever) {
   planned_fleet fleet(2, 8);
-  fleet.planner.begin(fleet.now);
+  fleet.planner.start(fleet.now);
   fleet.planner.on_report("w0", fleet.reports["w0"], fleet.now);
   fleet.now += std::chrono::seconds(1);
   fleet.planner.on_report("w0", fleet.reports["w0"], fleet.now);
@@ -646,7 +648,7 @@
   for (int step = 0; step < 10; ++step) fleet.step();
   int from_store = 0;
   for (const auto& [id, worker] : fleet.planner.workers()) {
-    if (worker.loads_from_store()) ++from_store;
+    if (worker.is_loading_from_store()) ++from_store;
   }
   EXPECT_EQ(from_store, planned_fleet::store_loads);
 }
--- a/test/decide-test/residency_property_test.cpp
+++ b/test/decide-test/residency_property_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "decide/residency.hpp"
-#include "residency_world.hpp"
+#include "residency_simulation.hpp"
 
 namespace boragehill::decide {
 namespace {
@@ -11,14 +11,14 @@
 
 residency_settings settings_with(milliseconds wait_out) {
   return {.engine_checks_fence = false,
-          .wait_out = wait_out,
-          .state_poll = milliseconds(300),
-          .grants_poll = milliseconds(2000),
-          .protect_fresh = milliseconds(500)};
+          .max_order_delivery = wait_out,
+          .state_poll_interval = milliseconds(300),
+          .grants_poll_interval = milliseconds(2000),
+          .unused_protection = milliseconds(500)};
 }
 
-residency_verdict play(std::uint32_t seed, milliseconds wait_out) {
-  residency_world<residency> world(
+residency_check_result play(std::uint32_t seed, milliseconds wait_out) {
+  residency_simulation<residency> world(
       seed, longest_delivery, [wait_out](time_point now) {
         return std::make_unique<residency>(settings_with(wait_out), now);
       });
@@ -39,11 +39,11 @@
                          testing::Range(1U, 101U));
 
 /// Orders every requested load at once, without any check.
-class hasty_residency {
+class unchecked_residency {
  public:
   void on_fence_taken(std::uint64_t, time_point) {}
   void on_engine_state(const engine_state&, time_point) {}
-  void on_engine_lost(time_point) {}
+  void on_engine_unresponsive(time_point) {}
   void on_grants(const server_record&, time_point, time_point) {}
   void on_grants_hint(time_point) {}
   void on_retire(const std::string& model, time_point) {
@@ -51,7 +51,7 @@
   }
   void on_order_done(const engine_order&, std::error_code, time_point) {}
   void tick(time_point) {}
-  void on_wake(const residency_wake& wake, time_point) {
+  void on_load_request(const residency_load_request& wake, time_point) {
     this->actions.emplace_back(
         send_order{{.model = wake.model, .bytes = wake.bytes}});
   }
@@ -70,9 +70,9 @@
 };
 
 TEST(residency_checker_test, each_one_fires_on_a_hasty_decision) {
-  residency_world<hasty_residency> world(1, longest_delivery, [](time_point) {
-    return std::make_unique<hasty_residency>();
-  });
+  residency_simulation<unchecked_residency> world(
+      1, longest_delivery,
+      [](time_point) { return std::make_unique<unchecked_residency>(); });
   const auto verdict = world.run(steps);
   EXPECT_FALSE(verdict.memory);
   EXPECT_FALSE(verdict.grants);
--- a/test/decide-test/residency_world.hpp
+++ b/test/decide-test/residency_simulation.hpp
@@ -17,7 +17,7 @@
 #include <boragehill/server_record.hpp>
 
 #include "decide/residency_action.hpp"
-#include "decide/residency_wake.hpp"
+#include "decide/residency_load_request.hpp"
 #include "invariants/loads_only_under_grant.hpp"
 #include "invariants/memory_never_overcommitted.hpp"
 #include "invariants/one_order_at_a_time.hpp"
@@ -25,7 +25,7 @@
 namespace boragehill::decide {
 
 /// The first failure of each checker, and counts of what the run covered.
-struct residency_verdict {
+struct residency_check_result {
   testing::AssertionResult memory = testing::AssertionSuccess();
   testing::AssertionResult grants = testing::AssertionSuccess();
   testing::AssertionResult orders = testing::AssertionSuccess();
@@ -39,16 +39,17 @@
 /// grants from the table. Orders are delayed, responses lost, and the engine
 /// and the agent restarted.
 template <class Decision>
-class residency_world {
+class residency_simulation {
  public:
   using maker = std::function<std::unique_ptr<Decision>(time_point)>;
 
-  residency_world(std::uint32_t seed, milliseconds longest_delivery, maker make)
+  residency_simulation(std::uint32_t seed, milliseconds longest_delivery,
+                       maker make)
       : random(seed), longest_delivery(longest_delivery), make(make) {
     this->start_agent();
   }
 
-  residency_verdict run(int steps) {
+  residency_check_result run(int steps) {
     for (int step = 0; step < steps; ++step) {
       this->now += milliseconds(100);
       this->deliver();
@@ -99,12 +100,12 @@
       this->agent->on_grants_hint(this->now);
     }
     if (this->chance(20)) {
-      this->agent->on_wake({.model = model,
-                            .adapter = this->chance(40) ? "x" : "",
-                            .bytes = bytes,
-                            .adapter_bytes = 10,
-                            .keep_warm = milliseconds(2000)},
-                           this->now);
+      this->agent->on_load_request({.model = model,
+                                    .adapter = this->chance(40) ? "x" : "",
+                                    .bytes = bytes,
+                                    .adapter_bytes = 10,
+                                    .keep_warm = milliseconds(2000)},
+                                   this->now);
     }
     if (this->chance(4)) this->agent->on_retire(model, this->now);
     if (this->chance(10)) this->take_grants_back();
@@ -202,7 +203,8 @@
       return this->send(sent->order);
     }
     if (std::holds_alternative<read_engine_state>(action)) {
-      if (this->chance(5)) return this->agent->on_engine_lost(this->now);
+      if (this->chance(5))
+        return this->agent->on_engine_unresponsive(this->now);
       return this->agent->on_engine_state(this->state(), this->now);
     }
     if (std::holds_alternative<read_grants>(action)) {
@@ -269,7 +271,7 @@
   std::map<std::string, std::uint64_t> table;
   std::map<std::string, held_model> held;
   std::vector<flying_order> flying;
-  residency_verdict verdict;
+  residency_check_result verdict;
 };
 
 }  // namespace boragehill::decide
--- a/test/decide-test/residency_test.cpp
+++ b/test/decide-test/residency_test.cpp
@@ -30,7 +30,7 @@
   void SetUp() override { this->make({.engine_checks_fence = false}); }
 
   void make(residency_settings settings) {
-    settings.wait_out = second;
+    settings.max_order_delivery = second;
     this->own = std::make_unique<residency>(settings, at({}));
   }
 
@@ -68,11 +68,11 @@
   result_code wake(const std::string& model, milliseconds time,
                    const std::string& adapter = {}) {
     return this->own
-        ->on_wake({.model = model,
-                   .adapter = adapter,
-                   .adapter_bytes = adapter.empty() ? 0U : 10U,
-                   .keep_warm = 30 * second},
-                  at(time))
+        ->on_load_request({.model = model,
+                           .adapter = adapter,
+                           .adapter_bytes = adapter.empty() ? 0U : 10U,
+                           .keep_warm = 30 * second},
+                          at(time))
         .code;
   }
 
@@ -97,9 +97,9 @@
   const auto order = this->answer_reads(2 * second);
   ASSERT_TRUE(order.has_value());
   EXPECT_EQ(order->order, (engine_order{order_kind::load, "a", 60, fence, 1}));
-  EXPECT_EQ(this->own->usable("a", ""), result_code::model_not_ready);
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::model_not_ready);
   this->own->on_order_done(order->order, {}, at(3 * second));
-  EXPECT_EQ(this->own->usable("a", ""), result_code::ok);
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::ok);
   EXPECT_EQ(this->own->ledger().reserved(), 60U);
 }
 
@@ -145,7 +145,7 @@
   this->state.models = {{.name = "a", .bytes = 60}};
   this->own->tick(at({}));
   this->own->on_engine_state(this->state, at({}));
-  EXPECT_EQ(this->own->usable("a", ""), result_code::ok);
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::ok);
   EXPECT_EQ(this->own->ledger().reserved(), 60U);
 }
 
@@ -164,11 +164,11 @@
   this->state.models = {
       {.name = "a", .state = engine_model_state::loading, .bytes = 60}};
   this->pass_to(9 * second);
-  EXPECT_TRUE(this->own->order_unknown());
+  EXPECT_TRUE(this->own->is_order_outcome_unknown());
   this->state.models = {{.name = "a", .bytes = 60}};
   this->pass_to(11 * second);
-  EXPECT_FALSE(this->own->order_unknown());
-  EXPECT_EQ(this->own->usable("a", ""), result_code::ok);
+  EXPECT_FALSE(this->own->is_order_outcome_unknown());
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::ok);
 }
 
 TEST_F(residency_test, releases_an_unknown_load_that_can_no_longer_arrive) {
@@ -205,11 +205,11 @@
 TEST_F(residency_test, gives_up_only_after_the_engine_confirmed_the_unload) {
   this->bring_up({{"a", 60}});
   this->load("a", 60, 2 * second);
-  this->own->on_use_began("a", "", at(2 * second));
+  this->own->on_attempt_began("a", "", at(2 * second));
   this->own->on_retire("a", at(3 * second));
   EXPECT_FALSE(this->answer_reads(3 * second).has_value());
-  EXPECT_EQ(this->own->usable("a", ""), result_code::no_grant);
-  this->own->on_use_ended("a", "", at(4 * second));
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::no_grant);
+  this->own->on_attempt_ended("a", "", at(4 * second));
   const auto order = this->answer_reads(4 * second);
   ASSERT_TRUE(order.has_value());
   EXPECT_EQ(order->reason, order_reason::retired);
@@ -221,11 +221,11 @@
 TEST_F(residency_test, unloads_a_model_whose_grant_vanished_once_it_is_idle) {
   this->bring_up({{"a", 60}});
   this->load("a", 60, 2 * second);
-  this->own->on_use_began("a", "", at(2 * second));
+  this->own->on_attempt_began("a", "", at(2 * second));
   this->own->on_grants(record({}), at(3 * second), at(3 * second));
-  EXPECT_EQ(this->own->usable("a", ""), result_code::no_grant);
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::no_grant);
   EXPECT_FALSE(this->answer_reads(3 * second).has_value());
-  this->own->on_use_ended("a", "", at(4 * second));
+  this->own->on_attempt_ended("a", "", at(4 * second));
   const auto order = this->answer_reads(4 * second);
   ASSERT_TRUE(order.has_value());
   EXPECT_EQ(order->reason, order_reason::not_granted);
@@ -234,9 +234,9 @@
 TEST_F(residency_test, evicts_an_idle_model_but_never_one_with_work) {
   this->bring_up({{"a", 60}, {"b", 60}});
   this->load("a", 60, 2 * second);
-  this->own->on_use_began("a", "", at(3 * second));
+  this->own->on_attempt_began("a", "", at(3 * second));
   EXPECT_EQ(this->wake("b", 3 * second), result_code::no_memory);
-  this->own->on_use_ended("a", "", at(4 * second));
+  this->own->on_attempt_ended("a", "", at(4 * second));
   EXPECT_EQ(this->wake("b", 4 * second), result_code::ok);
   const auto unload = this->answer_reads(4 * second);
   ASSERT_TRUE(unload.has_value());
@@ -270,7 +270,7 @@
   EXPECT_EQ(adapter->order.model, "a:x");
   this->state.models.push_back({.name = "a:x", .bytes = 10});
   this->own->on_order_done(adapter->order, {}, at(4 * second));
-  EXPECT_EQ(this->own->usable("a", "x"), result_code::ok);
+  EXPECT_EQ(this->own->check_usable("a", "x"), result_code::ok);
   EXPECT_EQ(this->own->ledger().reserved(), 70U);
   this->own->on_retire("a", at(5 * second));
   EXPECT_EQ(this->answer_reads(5 * second)->order.model, "a:x");
@@ -282,7 +282,7 @@
   EXPECT_FALSE(this->pass_to(31 * second).has_value());
   const auto order = this->pass_to(32 * second);
   ASSERT_TRUE(order.has_value());
-  EXPECT_EQ(order->reason, order_reason::keep_warm_over);
+  EXPECT_EQ(order->reason, order_reason::keep_warm_expired);
 }
 
 // The engine process restarts empty. The agent must not go on sending it
@@ -290,14 +290,14 @@
 TEST_F(residency_test, follows_an_engine_that_restarted_empty) {
   this->bring_up({{"a", 60}});
   this->load("a", 60, 2 * second);
-  this->own->on_use_began("a", "", at(2 * second));
+  this->own->on_attempt_began("a", "", at(2 * second));
   this->state = {.incarnation = "e2", .capacity_bytes = 100, .slots = 4};
   this->own->on_engine_suspected(at(3 * second));
   this->answer_reads(3 * second);
-  EXPECT_NE(find_action<note_engine_restarted>(this->seen), nullptr);
+  EXPECT_NE(find_action<notify_engine_restarted>(this->seen), nullptr);
   EXPECT_EQ(this->own->ledger().reserved(), 0U);
-  EXPECT_EQ(this->own->usable("a", ""), result_code::model_not_ready);
-  this->own->on_use_ended("a", "", at(4 * second));
+  EXPECT_EQ(this->own->check_usable("a", ""), result_code::model_not_ready);
+  this->own->on_attempt_ended("a", "", at(4 * second));
   EXPECT_EQ(this->wake("a", 4 * second), result_code::ok);
   EXPECT_TRUE(this->answer_reads(4 * second).has_value());
 }
--- a/test/decide-test/retry_budget_test.cpp
+++ b/test/decide-test/retry_token_bucket_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/retry_budget.hpp"
+#include "decide/retry_token_bucket.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 TEST(retry_budget_test, bounds_retries_when_every_attempt_fails) {
   // A fault fails every attempt, and each failure leads to a retry. Without a
   // budget the load doubles and delays requests to healthy servers.
-  retry_budget budget(0.1, 5.0);
+  retry_token_bucket budget(0.1, 5.0);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
     budget.on_first_attempt();
@@ -19,7 +19,7 @@
 }
 
 TEST(retry_budget_test, keeps_no_more_than_its_burst) {
-  retry_budget budget(1.0, 2.0);
+  retry_token_bucket budget(1.0, 2.0);
   for (int i = 0; i < 100; ++i) budget.on_first_attempt();
   EXPECT_TRUE(budget.take_retry());
   EXPECT_TRUE(budget.take_retry());
--- a/test/decide-test/revision_view_test.cpp
+++ b/test/decide-test/revision_view_test.cpp
@@ -47,7 +47,7 @@
 }
 
 TEST_F(revision_view_test, takes_the_confirmation_of_a_peer_with_its_age) {
-  this->view.on_peer_answer("r2", {5, milliseconds{4000}}, at(9000));
+  this->view.on_peer_response("r2", {5, milliseconds{4000}}, at(9000));
   EXPECT_EQ(this->view.confirmed_age(at(9000)), milliseconds{4000});
   EXPECT_EQ(this->readiness({"r2"}, 15000), revision_readiness::ready);
   EXPECT_EQ(this->readiness({"r2"}, 15001), revision_readiness::unconfirmed);
@@ -55,7 +55,8 @@
 
 TEST_F(revision_view_test, is_not_confirmed_by_a_newer_revision) {
   EXPECT_TRUE(this->view.on_table_read(6, at(9000)));
-  EXPECT_TRUE(this->view.on_peer_answer("r2", {6, milliseconds{0}}, at(9000)));
+  EXPECT_TRUE(
+      this->view.on_peer_response("r2", {6, milliseconds{0}}, at(9000)));
   EXPECT_EQ(this->readiness({"r2"}, 10001), revision_readiness::unconfirmed);
   EXPECT_TRUE(this->view.apply(6));
   this->view.on_table_read(6, at(9000));
@@ -68,13 +69,13 @@
   // serving.
   for (int ms = 1000; ms <= 30000; ms += 1000) {
     const milliseconds age{ms};
-    this->view.on_peer_answer("r2", {5, age}, at(ms));
-    this->view.on_peer_answer("r3", {5, std::nullopt}, at(ms));
+    this->view.on_peer_response("r2", {5, age}, at(ms));
+    this->view.on_peer_response("r3", {5, std::nullopt}, at(ms));
     // Checked just before the response to the next heartbeat.
     ASSERT_EQ(this->readiness({"r2", "r3"}, ms + 900),
               revision_readiness::ready);
   }
-  this->view.on_peer_answer("r3", {6, std::nullopt}, at(30000));
+  this->view.on_peer_response("r3", {6, std::nullopt}, at(30000));
   EXPECT_EQ(this->readiness({"r2", "r3"}, 30001),
             revision_readiness::unconfirmed);
 }
@@ -82,7 +83,7 @@
 TEST_F(revision_view_test, is_unready_when_a_peer_may_reach_the_table) {
   // This router cannot reach the table or r3, while an operator publishes
   // through r3, which can. Callers here would get the replaced profile.
-  this->view.on_peer_answer("r2", {5, std::nullopt}, at(11000));
+  this->view.on_peer_response("r2", {5, std::nullopt}, at(11000));
   EXPECT_EQ(this->readiness({"r2"}, 11000), revision_readiness::ready);
   EXPECT_EQ(this->readiness({"r2", "r3"}, 11000),
             revision_readiness::unconfirmed);
@@ -96,12 +97,12 @@
   // profile.
   const names peers{"r2", "r3", "r4", "r5", "r6"};
   for (const char* near : {"r2", "r3", "r4"}) {
-    this->view.on_peer_answer(near, {5, std::nullopt}, at(11000));
+    this->view.on_peer_response(near, {5, std::nullopt}, at(11000));
   }
   EXPECT_EQ(this->readiness(peers, 11000), revision_readiness::ready);
-  this->view.on_peer_silent("r5", at(11000));
+  this->view.on_peer_unresponsive("r5", at(11000));
   EXPECT_EQ(this->readiness(peers, 11000), revision_readiness::ready);
-  this->view.on_peer_silent("r6", at(11000));
+  this->view.on_peer_unresponsive("r6", at(11000));
   EXPECT_EQ(this->readiness(peers, 11000), revision_readiness::unconfirmed);
 }
 
@@ -114,7 +115,7 @@
   this->view.on_tick(at(4001));
   this->view.on_table_read(5, at(900));
   EXPECT_EQ(this->view.readiness({"r2"}, at(4001)), revision_readiness::paused);
-  this->view.on_peer_answer("r2", {5, milliseconds{100}}, at(4050));
+  this->view.on_peer_response("r2", {5, milliseconds{100}}, at(4050));
   EXPECT_EQ(this->view.readiness({"r2"}, at(4060)), revision_readiness::paused);
   this->view.on_table_read(5, at(4050));
   EXPECT_EQ(this->view.readiness({"r2"}, at(4060)), revision_readiness::ready);
@@ -124,9 +125,9 @@
   // As above, but the peers could not reach the table before the pause either.
   // It may have come back since, so their earlier responses do not show that
   // the revision is unchanged.
-  revision_view frozen({.pause_limit = milliseconds{1000}}, start);
+  revision_view frozen({.pause_threshold = milliseconds{1000}}, start);
   frozen.apply(5);
-  frozen.on_peer_answer("r2", {5, std::nullopt}, at(900));
+  frozen.on_peer_response("r2", {5, std::nullopt}, at(900));
   EXPECT_EQ(frozen.readiness({"r2"}, at(1000)), revision_readiness::ready);
   frozen.on_tick(at(1500));
   EXPECT_NE(frozen.readiness({"r2"}, at(1500)), revision_readiness::ready);
@@ -148,7 +149,7 @@
       const time_point began = at(static_cast<int>(random() % 9000));
       const bool newer = random() % 2 == 0
                              ? late.on_table_read(revision, began)
-                             : late.on_peer_answer("r2", {revision}, began);
+                             : late.on_peer_response("r2", {revision}, began);
       if (newer || random() % 4 == 0) late.apply(revision);
       in_force.push_back(late.revision());
     }
--- a/test/decide-test/server_choice_test.cpp
+++ b/test/decide-test/server_choice_test.cpp
@@ -39,22 +39,22 @@
   for (int request = 0; request < 3; ++request) {
     const auto chosen = choose_server(servers, 0.25, any_unread, 0);
     ASSERT_TRUE(chosen);
-    EXPECT_EQ(servers[*chosen].unread_tokens, 0);
+    EXPECT_EQ(servers[*chosen].prompt_backlog_tokens, 0);
     ++servers[*chosen].own_requests;
-    servers[*chosen].unread_tokens += 3000;
+    servers[*chosen].prompt_backlog_tokens += 3000;
   }
 }
 
 TEST(server_choice_test, prefers_the_near_one_only_among_equals) {
   std::vector<server_candidate> servers{{.slots = 64},
-                                        {.slots = 64, .near = true}};
+                                        {.slots = 64, .local = true}};
   EXPECT_EQ(choose_server(servers, 0.25, any_unread, 0), 1U);
   servers[1].own_requests = 10;
   EXPECT_EQ(choose_server(servers, 0.25, any_unread, 0), 0U);
 }
 
 TEST(server_choice_test, uses_a_suspect_only_where_nothing_else_has_room) {
-  std::vector<server_candidate> servers{{.slots = 2, .suspect = true},
+  std::vector<server_candidate> servers{{.slots = 2, .suspected = true},
                                         {.own_requests = 1, .slots = 2}};
   EXPECT_EQ(choose_server(servers, 0, any_unread, 0), 1U);
   servers[1].own_requests = 2;
@@ -77,12 +77,12 @@
     if (!choose_server(servers, 0.25, 2000, 0)) break;
     ++sent;
     ++servers[0].own_requests;
-    servers[0].unread_tokens += 650;
+    servers[0].prompt_backlog_tokens += 650;
   }
   EXPECT_GT(sent, 1);
   EXPECT_LT(sent, 10);
   EXPECT_TRUE(choose_server(servers, 0.25, any_unread, 0));
-  servers[0].unread_tokens = 0;
+  servers[0].prompt_backlog_tokens = 0;
   EXPECT_TRUE(choose_server(servers, 0.25, 2000, 0));
 }
 
--- a/test/decide-test/silence_watch_test.cpp
+++ b/test/decide-test/stall_detector_test.cpp
@@ -1,11 +1,11 @@
-#include "decide/silence_watch.hpp"
+#include "decide/stall_detector.hpp"
 
 #include <gtest/gtest.h>
 
 namespace boragehill::decide {
 namespace {
 
-using news = silence_watch::news;
+using news = stall_detector::transition;
 
 /// A server with requests of a router, on a simulated clock.
 class watched_server {
@@ -13,9 +13,9 @@
   /// Sends requests and starts their responses, one every 5 ms.
   void begin_streams(int count) {
     for (int each = 0; each < count; ++each) {
-      this->watch.answers().on_sent(500, this->now);
+      this->watch.responses().on_sent(500, this->now);
       this->pass(5);
-      this->watch.answers().on_begun(500, this->now);
+      this->watch.responses().on_response_started(500, this->now);
     }
   }
 
@@ -23,16 +23,16 @@
   void hear(int pieces, int each) {
     for (int piece = 0; piece < pieces; ++piece) {
       this->pass(each);
-      EXPECT_EQ(this->watch.judge(this->now), news::none) << piece;
-      this->watch.answers().on_heard(this->now);
+      EXPECT_EQ(this->watch.update(this->now), news::none) << piece;
+      this->watch.responses().on_data(this->now);
     }
   }
 
   void pass(int ms) { this->now += milliseconds(ms); }
 
-  news judge() { return this->watch.judge(this->now); }
+  news judge() { return this->watch.update(this->now); }
 
-  silence_watch watch;
+  stall_detector watch;
   time_point now{std::chrono::seconds(100)};
 };
 
@@ -43,8 +43,8 @@
   server.begin_streams(10);
   server.hear(100, 8);
   server.pass(125);
-  EXPECT_EQ(server.judge(), news::doubted);
-  EXPECT_TRUE(server.watch.doubted());
+  EXPECT_EQ(server.judge(), news::suspected);
+  EXPECT_TRUE(server.watch.is_suspected());
 }
 
 TEST(silence_watch_test, one_stream_may_pause_while_a_prompt_is_read) {
@@ -56,30 +56,30 @@
   server.pass(210);
   EXPECT_EQ(server.judge(), news::none);
   server.pass(100);
-  EXPECT_EQ(server.judge(), news::doubted);
+  EXPECT_EQ(server.judge(), news::suspected);
 }
 
 TEST(silence_watch_test, a_long_prompt_alone_has_time_to_be_read) {
   watched_server server;
-  server.watch.answers().on_sent(9000, server.now);
+  server.watch.responses().on_sent(9000, server.now);
   server.pass(600);
   EXPECT_EQ(server.judge(), news::none);
   server.pass(600);
-  EXPECT_EQ(server.judge(), news::doubted);
+  EXPECT_EQ(server.judge(), news::suspected);
 }
 
 TEST(silence_watch_test, one_silent_answer_among_others_is_no_silence) {
   watched_server server;
   server.begin_streams(2);
-  server.watch.answers().on_sent(500, server.now);
+  server.watch.responses().on_sent(500, server.now);
   server.hear(200, 20);
-  EXPECT_FALSE(server.watch.doubted());
+  EXPECT_FALSE(server.watch.is_suspected());
 }
 
 TEST(silence_watch_test, a_server_with_nothing_under_way_is_not_doubted) {
   watched_server server;
   server.begin_streams(1);
-  server.watch.answers().on_begun_left();
+  server.watch.responses().on_started_request_removed();
   server.pass(5000);
   EXPECT_EQ(server.judge(), news::none);
 }
@@ -87,20 +87,20 @@
 TEST(silence_watch_test, an_answer_that_its_caller_holds_up_is_not_awaited) {
   watched_server server;
   server.begin_streams(1);
-  server.watch.answers().on_held_up();
+  server.watch.responses().on_read_paused();
   server.pass(5000);
   EXPECT_EQ(server.judge(), news::none);
-  server.watch.answers().on_resumed(server.now);
+  server.watch.responses().on_read_resumed(server.now);
   EXPECT_EQ(server.judge(), news::none);
   server.pass(1000);
-  EXPECT_EQ(server.judge(), news::doubted);
+  EXPECT_EQ(server.judge(), news::suspected);
 }
 
 TEST(silence_watch_test, a_pause_of_the_router_itself_is_excused) {
   watched_server server;
   server.begin_streams(5);
   server.pass(4000);
-  server.watch.answers().excuse(server.now);
+  server.watch.responses().ignore_local_pause(server.now);
   EXPECT_EQ(server.judge(), news::none);
 }
 
@@ -111,11 +111,11 @@
   watched_server server;
   server.begin_streams(5);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
+  ASSERT_EQ(server.judge(), news::suspected);
   server.pass(1000);
-  server.watch.answers().excuse(server.now);
+  server.watch.responses().ignore_local_pause(server.now);
   EXPECT_EQ(server.judge(), news::none);
-  EXPECT_TRUE(server.watch.doubted());
+  EXPECT_TRUE(server.watch.is_suspected());
 }
 
 TEST(silence_watch_test, a_caller_that_takes_its_answer_again_ends_no_doubt) {
@@ -123,13 +123,13 @@
   // shows nothing about the worker.
   watched_server server;
   server.begin_streams(5);
-  server.watch.answers().on_held_up();
+  server.watch.responses().on_read_paused();
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
+  ASSERT_EQ(server.judge(), news::suspected);
   server.pass(100);
-  server.watch.answers().on_resumed(server.now);
+  server.watch.responses().on_read_resumed(server.now);
   EXPECT_EQ(server.judge(), news::none);
-  EXPECT_TRUE(server.watch.doubted());
+  EXPECT_TRUE(server.watch.is_suspected());
 }
 
 TEST(silence_watch_test, the_next_byte_ends_the_doubt) {
@@ -137,28 +137,28 @@
   server.begin_streams(10);
   server.hear(50, 8);
   server.pass(1000);
-  ASSERT_EQ(server.judge(), news::doubted);
-  EXPECT_TRUE(server.watch.question_due(server.now));
-  EXPECT_FALSE(server.watch.confirmed(server.now));
+  ASSERT_EQ(server.judge(), news::suspected);
+  EXPECT_TRUE(server.watch.is_probe_due(server.now));
+  EXPECT_FALSE(server.watch.is_confirmed(server.now));
   server.pass(200);
-  EXPECT_TRUE(server.watch.confirmed(server.now));
-  server.watch.answers().on_heard(server.now);
-  EXPECT_EQ(server.judge(), news::heard);
-  EXPECT_FALSE(server.watch.doubted());
+  EXPECT_TRUE(server.watch.is_confirmed(server.now));
+  server.watch.responses().on_data(server.now);
+  EXPECT_EQ(server.judge(), news::recovered);
+  EXPECT_FALSE(server.watch.is_suspected());
   // The stall that has ended doesn't raise the estimate of the usual gap.
   server.pass(125);
-  EXPECT_EQ(server.judge(), news::doubted);
+  EXPECT_EQ(server.judge(), news::suspected);
 }
 
 TEST(silence_watch_test, an_answered_question_ends_a_false_doubt) {
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
-  server.watch.on_asked();
-  EXPECT_FALSE(server.watch.question_due(server.now));
-  EXPECT_TRUE(server.watch.on_question_ended(true, server.now));
-  EXPECT_FALSE(server.watch.doubted());
+  ASSERT_EQ(server.judge(), news::suspected);
+  server.watch.on_probe_sent();
+  EXPECT_FALSE(server.watch.is_probe_due(server.now));
+  EXPECT_TRUE(server.watch.on_probe_ended(true, server.now));
+  EXPECT_FALSE(server.watch.is_suspected());
   EXPECT_EQ(server.judge(), news::none);
 }
 
@@ -166,13 +166,13 @@
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
-  server.watch.on_asked();
-  EXPECT_FALSE(server.watch.on_question_ended(false, server.now));
-  EXPECT_TRUE(server.watch.doubted());
-  EXPECT_FALSE(server.watch.question_due(server.now));
+  ASSERT_EQ(server.judge(), news::suspected);
+  server.watch.on_probe_sent();
+  EXPECT_FALSE(server.watch.on_probe_ended(false, server.now));
+  EXPECT_TRUE(server.watch.is_suspected());
+  EXPECT_FALSE(server.watch.is_probe_due(server.now));
   server.pass(250);
-  EXPECT_TRUE(server.watch.question_due(server.now));
+  EXPECT_TRUE(server.watch.is_probe_due(server.now));
 }
 
 TEST(silence_watch_test, a_question_left_unanswered_counts_for_its_doubt) {
@@ -180,18 +180,18 @@
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
-  EXPECT_FALSE(server.watch.unanswering());
-  server.watch.on_asked();
-  server.watch.on_question_ended(false, server.now);
-  EXPECT_TRUE(server.watch.unanswering());
+  ASSERT_EQ(server.judge(), news::suspected);
+  EXPECT_FALSE(server.watch.is_unresponsive());
+  server.watch.on_probe_sent();
+  server.watch.on_probe_ended(false, server.now);
+  EXPECT_TRUE(server.watch.is_unresponsive());
   server.pass(10);
-  server.watch.answers().on_heard(server.now);
-  ASSERT_EQ(server.judge(), news::heard);
-  EXPECT_FALSE(server.watch.unanswering());
+  server.watch.responses().on_data(server.now);
+  ASSERT_EQ(server.judge(), news::recovered);
+  EXPECT_FALSE(server.watch.is_unresponsive());
   server.pass(1200);
-  ASSERT_EQ(server.judge(), news::doubted);
-  EXPECT_FALSE(server.watch.unanswering());
+  ASSERT_EQ(server.judge(), news::suspected);
+  EXPECT_FALSE(server.watch.is_unresponsive());
 }
 
 TEST(silence_watch_test, a_pause_of_the_router_voids_an_unanswered_question) {
@@ -200,13 +200,13 @@
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
-  server.watch.on_asked();
-  server.watch.on_question_ended(false, server.now);
+  ASSERT_EQ(server.judge(), news::suspected);
+  server.watch.on_probe_sent();
+  server.watch.on_probe_ended(false, server.now);
   server.pass(2000);
-  server.watch.excuse(server.now);
-  EXPECT_FALSE(server.watch.unanswering());
-  EXPECT_TRUE(server.watch.doubted());
+  server.watch.ignore_local_pause(server.now);
+  EXPECT_FALSE(server.watch.is_unresponsive());
+  EXPECT_TRUE(server.watch.is_suspected());
 }
 
 TEST(silence_watch_test, a_question_whose_answer_was_missed_tells_nothing) {
@@ -214,12 +214,12 @@
   watched_server server;
   server.begin_streams(2);
   server.pass(500);
-  ASSERT_EQ(server.judge(), news::doubted);
-  server.watch.on_asked();
+  ASSERT_EQ(server.judge(), news::suspected);
+  server.watch.on_probe_sent();
   server.pass(2000);
-  server.watch.on_question_missed();
-  EXPECT_FALSE(server.watch.unanswering());
-  EXPECT_TRUE(server.watch.question_due(server.now));
+  server.watch.on_probe_discarded();
+  EXPECT_FALSE(server.watch.is_unresponsive());
+  EXPECT_TRUE(server.watch.is_probe_due(server.now));
 }
 
 TEST(silence_watch_test, one_that_answers_questions_only_is_hardly_used) {
@@ -233,11 +233,11 @@
   for (int at = 0; at < played_ms; at += step_ms) {
     server.pass(step_ms);
     server.judge();
-    if (server.watch.question_due(server.now)) {
-      server.watch.on_asked();
-      server.watch.on_question_ended(true, server.now);
+    if (server.watch.is_probe_due(server.now)) {
+      server.watch.on_probe_sent();
+      server.watch.on_probe_ended(true, server.now);
     }
-    if (!server.watch.doubted()) used_ms += step_ms;
+    if (!server.watch.is_suspected()) used_ms += step_ms;
   }
   EXPECT_LT(used_ms, played_ms / 5);
 }
--- a/test/decide-test/send_budget_test.cpp
+++ b/test/decide-test/windowed_retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "decide/send_budget.hpp"
+#include "decide/windowed_retry_budget.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,8 +10,10 @@
 TEST(send_budget_test, bounds_repeats_of_all_routers_together_in_any_window) {
   // A fault fails every attempt: four routers with uneven traffic each retry as
   // much as they may. Together they stay within the bound in every window.
-  const send_budget_settings settings{.ratio = 0.2, .extra = 50};
-  std::vector<send_budget> routers(4, send_budget(settings));
+  const windowed_retry_budget_settings settings{.retries_per_request = 0.2,
+                                                .constant_retries = 50};
+  std::vector<windowed_retry_budget> routers(4,
+                                             windowed_retry_budget(settings));
   std::vector<int> requests(40);
   std::vector<int> repeats(40);
   for (int second = 0; second < 40; ++second) {
@@ -20,7 +22,7 @@
       for (std::size_t count = 0; count < 5 * (which + 1); ++count) {
         routers[which].on_request(now);
         ++requests[second];
-        while (routers[which].take(now, 4)) ++repeats[second];
+        while (routers[which].take_retry(now, 4)) ++repeats[second];
       }
     }
   }
@@ -37,10 +39,11 @@
 }
 
 TEST(send_budget_test, is_there_again_after_the_window) {
-  send_budget budget({.ratio = 0, .extra = 10});
-  while (budget.take(begin, 1)) continue;
-  EXPECT_FALSE(budget.take(begin + std::chrono::seconds(9), 1));
-  EXPECT_TRUE(budget.take(begin + std::chrono::seconds(11), 1));
+  windowed_retry_budget budget(
+      {.retries_per_request = 0, .constant_retries = 10});
+  while (budget.take_retry(begin, 1)) continue;
+  EXPECT_FALSE(budget.take_retry(begin + std::chrono::seconds(9), 1));
+  EXPECT_TRUE(budget.take_retry(begin + std::chrono::seconds(11), 1));
 }
 
 }  // namespace
--- a/test/fault-test/sim_agent.cpp
+++ b/test/fault-test/sim_agent.cpp
@@ -32,10 +32,10 @@
   this->fence = 0;
   this->answers.clear();
   this->residency = std::make_unique<decide::residency>(
-      decide::residency_settings{.grants_poll = milliseconds(3000)},
+      decide::residency_settings{.grants_poll_interval = milliseconds(3000)},
       this->clock());
   this->admission =
-      std::make_unique<decide::admission>(decide::attempt_memory_settings{});
+      std::make_unique<decide::admission>(decide::attempt_registry_settings{});
   this->admission->set_slots(4);
   this->take_fence();
   this->around->time.every(this->own, tick_interval, [this] { this->tick(); });
@@ -60,7 +60,7 @@
             return this->around->time.after(this->own, retry_interval, again);
           }
           this->fence = next;
-          this->admission->take_fence(next);
+          this->admission->set_fencing_number(next);
           this->residency->on_fence_taken(next, this->clock());
           this->act();
           this->report();
@@ -84,7 +84,7 @@
 
 void sim_agent::tick() {
   const time_point now = this->clock();
-  this->admission->tick(now);
+  this->admission->remove_expired(now);
   this->residency->tick(now);
   this->act();
   if (this->around->listed_as_leaving(this->vm.id)) this->drain();
@@ -121,13 +121,13 @@
 }
 
 wire::wake_answer sim_agent::on_wake(const wire::wake_order& order) {
-  const auto outcome =
-      this->residency->on_wake({.model = order.model,
-                                .adapter = order.adapter,
-                                .bytes = order.bytes,
-                                .adapter_bytes = order.adapter_bytes,
-                                .keep_warm = milliseconds(order.keep_warm_ms)},
-                               this->clock());
+  const auto outcome = this->residency->on_load_request(
+      {.model = order.model,
+       .adapter = order.adapter,
+       .bytes = order.bytes,
+       .adapter_bytes = order.adapter_bytes,
+       .keep_warm = milliseconds(order.keep_warm_ms)},
+      this->clock());
   this->act();
   return {.code = static_cast<int>(outcome.code),
           .ready_in_ms = outcome.ready_in.count()};
@@ -165,7 +165,7 @@
                            const std::function<void(agent_frame)>& back) {
   const auto& asked = this->around->seen.requests.at(request).asked;
   auto verdict = this->admission->decide(
-      offer, this->residency->usable(asked.model, ""), this->clock());
+      offer, this->residency->check_usable(asked.model, ""), this->clock());
   const bool again = verdict.code == result_code::attempt_seen &&
                      this->around->broken_by(breakage::run_offers_again);
   if (verdict.code != result_code::ok && !again) {
@@ -173,7 +173,7 @@
                                                    : agent_frame::kind::broken;
     return back({.what = what, .code = verdict.code, .body = {}});
   }
-  this->residency->on_use_began(asked.model, "", this->clock());
+  this->residency->on_attempt_began(asked.model, "", this->clock());
   const auto left = this->around->seen.leaving.find(this->vm.id);
   if (left != this->around->seen.leaving.end() &&
       this->around->time.now > left->second + milliseconds(5000)) {
@@ -202,7 +202,7 @@
   if (this->around->broken_by(breakage::swap_answers)) body += "?";
   if (whole) this->answers[offer.id.to_string()] = body;
   this->admission->end(offer.id, whole);
-  this->residency->on_use_ended(model, "", this->clock());
+  this->residency->on_attempt_ended(model, "", this->clock());
   if (!whole) this->residency->on_engine_suspected(this->clock());
   back({.what = whole ? agent_frame::kind::whole : agent_frame::kind::broken,
         .code = whole ? result_code::ok : result_code::engine_crashed,
@@ -228,11 +228,11 @@
   if (std::holds_alternative<decide::read_grants>(action)) {
     return this->read_grants();
   }
-  if (std::holds_alternative<decide::note_overtaken>(action)) {
+  if (std::holds_alternative<decide::notify_superseded>(action)) {
     return this->admission->drain();
   }
   this->report();
-  if (std::holds_alternative<decide::note_given_up>(action)) {
+  if (std::holds_alternative<decide::notify_given_up>(action)) {
     this->around->at(step::grant_given_up, this->own);
   }
 }
@@ -254,7 +254,7 @@
     if (this->engine.own.alive) {
       this->residency->on_engine_state(this->engine.state(), this->clock());
     } else {
-      this->residency->on_engine_lost(this->clock());
+      this->residency->on_engine_unresponsive(this->clock());
     }
     this->act();
   });
--- a/test/fault-test/sim_attempt.cpp
+++ b/test/fault-test/sim_attempt.cpp
@@ -24,7 +24,7 @@
   auto& own = this->entry->own;
   if (!time.reachable(own, agent.own)) {
     return time.after(own, connect_limit, [this, sent] {
-      this->on_result(sent, {.ending = decide::attempt_ending::never_sent,
+      this->on_result(sent, {.ending = decide::attempt_ending::not_sent,
                              .code = result_code::peer_unreachable});
     });
   }
@@ -54,7 +54,7 @@
       std::chrono::duration_cast<milliseconds>(this->deadline - this->now());
   time.after(own, left, [this, sent] {
     if (this->streaming) return;
-    this->on_result(sent, {.ending = decide::attempt_ending::broken,
+    this->on_result(sent, {.ending = decide::attempt_ending::interrupted,
                            .code = result_code::deadline_passed});
   });
   this->around->at(step::dispatched, own, this->asked.id);
@@ -88,16 +88,18 @@
       return;
     case agent_frame::kind::whole:
       this->answer = frame.body;
-      return this->on_result(sent, {.ending = decide::attempt_ending::whole});
+      return this->on_result(sent,
+                             {.ending = decide::attempt_ending::complete});
     case agent_frame::kind::refused:
       return this->on_result(sent, {.ending = decide::attempt_ending::refused,
                                     .code = frame.code});
     case agent_frame::kind::broken:
       break;
   }
-  this->on_result(sent, {.ending = decide::attempt_ending::broken,
-                         .code = frame.code,
-                         .crashed = frame.code == result_code::engine_crashed});
+  this->on_result(
+      sent, {.ending = decide::attempt_ending::interrupted,
+             .code = frame.code,
+             .server_crashed = frame.code == result_code::engine_crashed});
 }
 
 void sim_request::on_broken(std::uint64_t sent, result_code code) {
@@ -106,9 +108,9 @@
   this->around->time.call<bool>(
       this->entry->own, agent.own, call_limit, [] { return true; },
       [this, sent, code](std::optional<bool> alive) {
-        this->on_result(sent, {.ending = decide::attempt_ending::broken,
+        this->on_result(sent, {.ending = decide::attempt_ending::interrupted,
                                .code = code,
-                               .crashed = !alive.has_value()});
+                               .server_crashed = !alive.has_value()});
       });
 }
 
@@ -116,17 +118,17 @@
   if (sent != this->sending) return;
   ++this->sending;
   using decide::attempt_ending;
-  const bool whole = result.ending == attempt_ending::whole;
+  const bool whole = result.ending == attempt_ending::complete;
   auto outcome = wire::attempt_outcome::lost;
   if (whole) outcome = wire::attempt_outcome::answered;
   if (result.ending == attempt_ending::refused) {
     outcome = wire::attempt_outcome::refused;
   }
-  if (result.ending == attempt_ending::broken) {
+  if (result.ending == attempt_ending::interrupted) {
     if (result.code == result_code::deadline_passed) {
       outcome = wire::attempt_outcome::cancelled;
     }
-    if (result.crashed) outcome = wire::attempt_outcome::crashed;
+    if (result.server_crashed) outcome = wire::attempt_outcome::crashed;
   }
   this->note_end(outcome);
   if (std::exchange(this->streaming, false)) {
@@ -136,7 +138,7 @@
                                {.how = caller_outcome::kind::cut_off});
   }
   if (this->around->broken_by(breakage::retry_after_broken_send) &&
-      result.ending == attempt_ending::broken) {
+      result.ending == attempt_ending::interrupted) {
     result = {.ending = attempt_ending::refused,
               .code = result_code::server_busy};
   }
--- a/test/fault-test/sim_publish.cpp
+++ b/test/fault-test/sim_publish.cpp
@@ -113,11 +113,11 @@
           const time_point now = this->around->time.now;
           for (const auto& server : row.servers) {
             const bool alive = this->around->agent(server).own.alive;
-            if (!alive && this->members->is_gone(server, now)) {
+            if (!alive && this->members->is_removed(server, now)) {
               this->remove_grant(server, model, std::nullopt);
             }
             const bool counts = !this->members->is_suspected(server, now) &&
-                                !this->members->is_leaving(server);
+                                !this->members->is_draining(server);
             if (!counts || ++standing <= most) continue;
             this->tell_agent(
                 server, [model](sim_agent& agent) { agent.on_retire(model); });
@@ -129,40 +129,40 @@
   }
 }
 
-void sim_router::add_grant(const decide::want_grants& wanted, int tries) {
+void sim_router::add_grant(const decide::request_grants& wanted, int tries) {
   const auto* spec = this->catalog.spec_of(wanted.model);
   if (spec == nullptr || tries >= most_tries) return;
   const grant added{wanted.model, spec->bytes};
   decide::placement_request request{
       .model = wanted.model,
       .bytes = spec->bytes,
-      .wanted = std::max(spec->replicas, wanted.number),
-      .most = wanted.number};
+      .wanted_grants = std::max(spec->replicas, wanted.count),
+      .max_grants = wanted.count};
   this->around->table.read(
       this->own, all_rows(wanted.model),
       [this, wanted, added, request, tries](auto found) mutable {
         if (!found) return;
         auto model_row = found->front().template as<placement>();
         model_row.model = wanted.model;
-        request.current = model_row.servers;
+        request.granted_servers = model_row.servers;
         const time_point now = this->around->time.now;
         for (std::size_t i = 1; i < found->size(); ++i) {
           const auto row = (*found)[i].template as<server_record>();
           std::uint64_t granted = 0;
           for (const auto& each : row.grants) granted += each.bytes;
-          const auto& silent = wanted.not_counted;
+          const auto& silent = wanted.uncounted_servers;
           request.servers.push_back(
               {.id = row.id,
                .failure_domain = row.failure_domain,
                .capacity_bytes = row.capacity_bytes,
                .free_bytes = row.capacity_bytes,
                .granted_bytes = granted,
-               .draining = this->members->is_leaving(row.id) ||
-                           this->members->is_gone(row.id, now),
+               .draining = this->members->is_draining(row.id) ||
+                           this->members->is_removed(row.id, now),
                .suspected = std::find(silent.begin(), silent.end(), row.id) !=
                             silent.end()});
         }
-        const auto chosen = decide::choose_servers(request);
+        const auto chosen = decide::choose_grant_servers(request);
         if (chosen.empty()) return this->show(model_row);
         const auto at = static_cast<std::size_t>(chosen.front().back() - '0');
         const auto server_row = (*found)[at].template as<server_record>();
@@ -198,7 +198,8 @@
         const auto server_row = found->back().template as<server_record>();
         const auto change =
             given ? decide::remove_grant(model_row, server_row, model, *given)
-                  : decide::remove_gone(model_row, server_row, model);
+                  : decide::remove_grant_of_lost_server(model_row, server_row,
+                                                        model);
         if (!change) return;
         this->around->table.write(
             this->own,
--- a/test/fault-test/sim_request.cpp
+++ b/test/fault-test/sim_request.cpp
@@ -1,6 +1,6 @@
 #include "sim_request.hpp"
 
-#include "decide/once_claim.hpp"
+#include "decide/idempotency_claim.hpp"
 #include "decide/target_name.hpp"
 
 namespace boragehill::fault {
@@ -19,7 +19,7 @@
           .target = decide::model_target(asked.model),
           .fingerprint = asked.fingerprint(),
           .non_idempotent = asked.non_idempotent,
-          .keyed = !asked.key.empty(),
+          .has_idempotency_key = !asked.key.empty(),
           .deadline = deadline};
 }
 
@@ -57,35 +57,35 @@
         }
         this->etag = found->front().etag;
         if (this->etag == 0) return this->next(this->flow.begin(this->now()));
-        this->on_row(found->front().template as<decide::once_row>());
+        this->on_row(found->front().template as<decide::idempotency_record>());
       });
 }
 
-void sim_request::on_row(const decide::once_row& row) {
-  const auto judged = decide::judge_resend(row, this->asked.fingerprint());
-  if (std::holds_alternative<decide::hand_over_result>(judged)) {
-    return this->hand_over(row.answer);
+void sim_request::on_row(const decide::idempotency_record& row) {
+  const auto judged = decide::evaluate_record(row, this->asked.fingerprint());
+  if (std::holds_alternative<decide::return_stored_response>(judged)) {
+    return this->hand_over(row.response_body);
   }
-  if (std::holds_alternative<decide::refuse_reused>(judged)) {
+  if (std::holds_alternative<decide::refuse_key_reuse>(judged)) {
     return this->refuse(result_code::idempotency_key_reused, ran_state::no);
   }
   this->follow(row);
 }
 
-void sim_request::follow(const decide::once_row& row) {
+void sim_request::follow(const decide::idempotency_record& row) {
   wire::permit_answer claimed{.server = row.server,
                               .fence = row.fence,
                               .permit_end_ms = row.permit_end_ms};
   this->ask_agent(row.attempt, claimed, [this, row](auto status) {
-    const auto judged = decide::judge_agent_answer(status);
-    if (std::holds_alternative<decide::wait_for_end>(judged)) {
+    const auto judged = decide::evaluate_agent_status(status);
+    if (std::holds_alternative<decide::wait_for_completion>(judged)) {
       return this->around->time.after(this->entry->own, milliseconds(100),
                                       [this] { this->open(); });
     }
-    if (std::holds_alternative<decide::reclaim>(judged)) {
+    if (std::holds_alternative<decide::reassign_claim>(judged)) {
       return this->next(this->flow.begin(this->now()));
     }
-    if (std::holds_alternative<decide::outcome_is_unknown>(judged)) {
+    if (std::holds_alternative<decide::report_unknown_outcome>(judged)) {
       return this->refuse(result_code::outcome_unknown, ran_state::unknown);
     }
     this->ask_kept(row.attempt, row.server, [this](auto body) {
@@ -99,20 +99,22 @@
   std::visit([this](const auto& each) { this->carry_out(each); }, what);
 }
 
-void sim_request::carry_out(const decide::ask_home& what) {
+void sim_request::carry_out(const decide::request_permit& what) {
   this->home = nullptr;
-  for (auto* each : this->entry->homes(what.ask.target)) {
+  for (auto* each : this->entry->homes(what.request.target)) {
     if (this->home == nullptr && !this->lost.contains(each)) this->home = each;
   }
   if (this->home == nullptr) {
     return this->next(this->flow.on_home_lost(this->now()));
   }
   // Opened before the call: the turn may come before its answer.
-  this->entry->waiting[what.ask.attempt] = {this->home, this};
+  this->entry->waiting[what.request.attempt] = {this->home, this};
   this->around->time.call<wire::permit_answer>(
       this->entry->own, this->home->own, call_limit,
-      [at = this->home, ask = what.ask] { return at->on_permit_asked(ask); },
-      [this, attempt = what.ask.attempt](auto answer) {
+      [at = this->home, ask = what.request] {
+        return at->on_permit_asked(ask);
+      },
+      [this, attempt = what.request.attempt](auto answer) {
         const bool open = this->entry->waiting.contains(attempt);
         if (!open) return;
         const bool queued =
@@ -154,7 +156,7 @@
   this->lose_home();
 }
 
-decide::once_row sim_request::claim_row(
+decide::idempotency_record sim_request::claim_row(
     const attempt_id& attempt, const wire::permit_answer& given) const {
   return {.digest = this->asked.fingerprint(),
           .attempt = attempt.to_string(),
@@ -173,12 +175,13 @@
           return this->read_back_claim(row, 0);
         }
         this->note_end(wire::attempt_outcome::refused);
-        this->next(this->flow.on_claim(code, this->now()));
+        this->next(this->flow.on_claim_written(code, this->now()));
       });
   this->around->at(step::claim_written, this->entry->own, this->asked.id);
 }
 
-void sim_request::read_back_claim(const decide::once_row& row, int tries) {
+void sim_request::read_back_claim(const decide::idempotency_record& row,
+                                  int tries) {
   this->around->table.read(
       this->entry->own, {row_key(this->asked)}, [this, row, tries](auto found) {
         if (!found && tries + 1 < read_back_tries) {
@@ -186,7 +189,8 @@
         }
         auto code = result_code::platform_answer_lost;
         if (found && found->front().etag != 0) {
-          const auto standing = found->front().template as<decide::once_row>();
+          const auto standing =
+              found->front().template as<decide::idempotency_record>();
           const bool ours = decide::is_claimed_by(standing, row.attempt);
           code = ours ? result_code::ok : result_code::platform_conflict;
           this->etag = found->front().etag;
@@ -194,7 +198,7 @@
         if (code != result_code::ok) {
           this->note_end(wire::attempt_outcome::refused);
         }
-        this->next(this->flow.on_claim(code, this->now()));
+        this->next(this->flow.on_claim_written(code, this->now()));
       });
 }
 
@@ -203,17 +207,18 @@
   this->send(what);
 }
 
-void sim_request::carry_out(const decide::ask_fate& what) {
+void sim_request::carry_out(const decide::query_attempt_status& what) {
   this->ask_agent(what.attempt.to_string(), what.permit, [this](auto fate) {
-    this->next(this->flow.on_fate(fate, this->now()));
+    this->next(this->flow.on_attempt_status(fate, this->now()));
   });
 }
 
-void sim_request::carry_out(const decide::fetch_kept& what) {
+void sim_request::carry_out(const decide::fetch_stored_response& what) {
   this->ask_kept(
       what.attempt.to_string(), what.permit.server, [this](auto body) {
         if (body) this->answer = *body;
-        this->next(this->flow.on_kept(body.has_value(), this->now()));
+        this->next(
+            this->flow.on_stored_response(body.has_value(), this->now()));
       });
 }
 
@@ -230,17 +235,17 @@
   this->hand_over(this->answer);
 }
 
-void sim_request::carry_out(const decide::give_up& what) {
+void sim_request::carry_out(const decide::refuse_request& what) {
   const bool lie = this->around->broken_by(breakage::say_never_ran);
-  this->refuse(what.answer.code, lie ? ran_state::no : what.answer.ran);
+  this->refuse(what.response.code, lie ? ran_state::no : what.response.ran);
 }
 
 void sim_request::settle(int tries) {
   constexpr int settle_tries = 2;
   if (tries >= settle_tries) return this->hand_over(this->answer);
   auto row = this->claim_row(this->flow.attempt(), this->permit);
-  row.state = decide::once_state::ended;
-  row.answer = this->answer;
+  row.state = decide::idempotency_state::completed;
+  row.response_body = this->answer;
   this->around->table.write(
       this->entry->own, {{row_key(this->asked), this->etag, row}},
       [this, tries](result_code code) {
--- a/test/fault-test/sim_request.hpp
+++ b/test/fault-test/sim_request.hpp
@@ -2,7 +2,7 @@
 #define BORAGEHILL_FAULT_TEST_SIM_REQUEST_HPP
 
 #include "decide/admission.hpp"
-#include "decide/once_claim_row.hpp"
+#include "decide/idempotency_record.hpp"
 #include "decide/request_flow.hpp"
 #include "sim_agent.hpp"
 #include "sim_router.hpp"
@@ -27,21 +27,21 @@
 
   time_point now() const { return this->around->time.now; }
   void open();
-  void on_row(const decide::once_row& row);
-  void follow(const decide::once_row& row);
+  void on_row(const decide::idempotency_record& row);
+  void follow(const decide::idempotency_record& row);
   void next(const step_of& what);
-  void carry_out(const decide::ask_home& what);
+  void carry_out(const decide::request_permit& what);
   void carry_out(const decide::await_permit& what);
   void carry_out(const decide::write_claim& what);
   void carry_out(const decide::dispatch& what);
-  void carry_out(const decide::ask_fate& what);
-  void carry_out(const decide::fetch_kept& what);
+  void carry_out(const decide::query_attempt_status& what);
+  void carry_out(const decide::fetch_stored_response& what);
   void carry_out(const decide::pause_until& what);
   void carry_out(const decide::delivered& what);
-  void carry_out(const decide::give_up& what);
+  void carry_out(const decide::refuse_request& what);
 
   void lose_home();
-  void read_back_claim(const decide::once_row& row, int tries);
+  void read_back_claim(const decide::idempotency_record& row, int tries);
   void settle(int tries);
   void send(const decide::dispatch& what);
   void on_frame(std::uint64_t sent, const agent_frame& frame);
@@ -52,8 +52,8 @@
                  std::function<void(std::optional<wire::attempt_status>)> done);
   void ask_kept(const std::string& attempt, const std::string& server,
                 const std::function<void(std::optional<std::string>)>& done);
-  decide::once_row claim_row(const attempt_id& attempt,
-                             const wire::permit_answer& permit) const;
+  decide::idempotency_record claim_row(const attempt_id& attempt,
+                                       const wire::permit_answer& permit) const;
   void refuse(result_code code, ran_state ran);
   void hand_over(const std::string& body);
   void note_end(wire::attempt_outcome outcome);
--- a/test/fault-test/sim_router.cpp
+++ b/test/fault-test/sim_router.cpp
@@ -27,13 +27,13 @@
   this->catalog = {};
   this->incarnation = this->vm.id + "-" + std::to_string(this->own.life);
   const time_point now = this->around->time.now;
-  this->home = std::make_unique<decide::home>(decide::home_settings{},
-                                              decide::strike_settings{});
+  this->home = std::make_unique<decide::home>(
+      decide::home_settings{}, decide::crash_attribution_settings{});
   this->members =
       std::make_unique<decide::membership>(decide::membership_settings{});
   this->view = std::make_unique<decide::revision_view>(
       decide::revision_view_settings{}, now);
-  this->budget = std::make_unique<decide::retry_budget>(0.2, 20);
+  this->budget = std::make_unique<decide::retry_token_bucket>(0.2, 20);
   auto& time = this->around->time;
   this->look_around();
   time.every(this->own, milliseconds(50), [this] { this->tick(); });
@@ -59,11 +59,11 @@
 
 void sim_router::look_around() {
   const auto listed = this->around->vm_list();
-  this->members->on_list(listed, this->around->time.now);
+  this->members->on_vm_list(listed, this->around->time.now);
   for (const auto& each : listed) {
     if (each.state != vm_state::leaving) continue;
-    this->members->on_leaving(each.id);
-    if (each.role == vm_role::model_server) this->home->on_leaving(each.id);
+    this->members->on_draining(each.id);
+    if (each.role == vm_role::model_server) this->home->on_draining(each.id);
     if (each.id == this->vm.id) this->drain();
   }
 }
@@ -93,7 +93,7 @@
 
 wire::permit_answer sim_router::on_permit_asked(
     const wire::permit_request& ask) {
-  auto answer = this->home->request(ask, this->around->time.now);
+  auto answer = this->home->request_permit(ask, this->around->time.now);
   this->send_actions();
   return answer;
 }
@@ -116,10 +116,10 @@
 
 void sim_router::on_done(const wire::attempt_end& end) {
   const time_point now = this->around->time.now;
-  this->home->on_done(end, now);
+  this->home->on_attempt_end(end, now);
   const bool crashed = end.outcome == wire::attempt_outcome::crashed;
   if (crashed && this->around->broken_by(breakage::convict_all_in_flight)) {
-    this->home->on_conviction(end.fingerprint, now);
+    this->home->on_quarantine(end.fingerprint, now);
   }
   this->send_actions();
 }
@@ -131,7 +131,7 @@
 void sim_router::on_report(const wire::agent_report& report) {
   const time_point now = this->around->time.now;
   this->home->on_report(report, now);
-  if (report.draining) this->members->on_leaving(report.server);
+  if (report.draining) this->members->on_draining(report.server);
   for (const auto& [model, serial] : report.given_up) {
     const auto homes = this->homes(decide::model_target(model));
     if (homes.empty() || homes.front() != this) continue;
@@ -146,29 +146,29 @@
 }
 
 void sim_router::carry_out(const decide::home_action& action) {
-  if (const auto* told = std::get_if<decide::tell_entry>(&action)) {
+  if (const auto* told = std::get_if<decide::notify_entry>(&action)) {
     auto& entry = this->around->router_at(told->entry);
     this->around->time.call<bool>(
         this->own, entry.own, call_limit,
-        [&entry, answer = told->answer] {
+        [&entry, answer = told->response] {
           return entry.on_permit_told(answer);
         },
-        [this, attempt = told->answer.attempt](std::optional<bool> taken) {
+        [this, attempt = told->response.attempt](std::optional<bool> taken) {
           if (taken && !*taken) this->on_withdraw(attempt);
         });
   }
-  if (const auto* order = std::get_if<decide::order_wake>(&action)) {
+  if (const auto* order = std::get_if<decide::order_load>(&action)) {
     this->wake(*order);
   }
-  if (const auto* wanted = std::get_if<decide::want_grants>(&action)) {
+  if (const auto* wanted = std::get_if<decide::request_grants>(&action)) {
     this->add_grant(*wanted, 0);
   }
-  if (const auto* share = std::get_if<decide::share_conviction>(&action)) {
+  if (const auto* share = std::get_if<decide::share_quarantine>(&action)) {
     this->convictions.insert(share->fingerprint);
   }
 }
 
-void sim_router::wake(const decide::order_wake& order) {
+void sim_router::wake(const decide::order_load& order) {
   if (this->around->broken_by(breakage::forget_wakes)) return;
   auto& agent = this->around->agent(order.server);
   this->around->time.call<wire::wake_answer>(
@@ -176,8 +176,8 @@
       [&agent, order] { return agent.on_wake(order.order); },
       [this, order](std::optional<wire::wake_answer> answer) {
         const time_point now = this->around->time.now;
-        if (answer) this->home->on_wake_answer(order, *answer, now);
-        if (!answer) this->home->on_wake_lost(order, now);
+        if (answer) this->home->on_load_response(order, *answer, now);
+        if (!answer) this->home->on_load_order_lost(order, now);
         this->send_actions();
       });
   this->around->at(step::wake_ordered, this->own);
@@ -194,7 +194,7 @@
       std::find(ids.begin(), ids.end(), this->vm.id) == ids.end();
   if (missing && !this->draining) ids.push_back(this->vm.id);
   std::vector<sim_router*> found;
-  for (const auto& id : decide::home_order(target, ids, ids.size())) {
+  for (const auto& id : decide::rank_homes(target, ids, ids.size())) {
     for (const auto& each : this->around->routers) {
       if (each->vm.id == id) found.push_back(each.get());
     }
@@ -221,10 +221,10 @@
 }
 
 void sim_router::learn(const heartbeat_news& news, const std::string& from) {
-  if (news.draining) this->members->on_leaving(from);
+  if (news.draining) this->members->on_draining(from);
   for (const auto& print : news.convictions) {
     if (!this->convictions.insert(print).second) continue;
-    this->home->on_conviction(print, this->around->time.now);
+    this->home->on_quarantine(print, this->around->time.now);
   }
   const bool newer = news.revision > this->view->revision();
   const bool any = this->around->broken_by(breakage::apply_any_revision);
@@ -244,15 +244,15 @@
         [this, peer, began](std::optional<heartbeat_news> answer) {
           if (!answer) {
             this->suspect(peer->vm.id);
-            return this->view->on_peer_silent(peer->vm.id, began);
+            return this->view->on_peer_unresponsive(peer->vm.id, began);
           }
-          this->members->on_call_answered(peer->vm.id);
+          this->members->on_call_succeeded(peer->vm.id);
           this->members->on_heartbeat(peer->vm, this->around->time.now);
           this->learn(*answer, peer->vm.id);
-          this->view->on_peer_answer(peer->vm.id,
-                                     {.revision = answer->revision,
-                                      .confirmed_age = answer->confirmed_age},
-                                     began);
+          this->view->on_peer_response(peer->vm.id,
+                                       {.revision = answer->revision,
+                                        .confirmed_age = answer->confirmed_age},
+                                       began);
         });
   }
 }
--- a/test/fault-test/sim_router.hpp
+++ b/test/fault-test/sim_router.hpp
@@ -7,7 +7,7 @@
 #include "decide/grant_acknowledgement.hpp"
 #include "decide/home.hpp"
 #include "decide/membership.hpp"
-#include "decide/retry_budget.hpp"
+#include "decide/retry_token_bucket.hpp"
 #include "decide/revision_view.hpp"
 #include "world.hpp"
 
@@ -63,7 +63,7 @@
 
   process own;
   vm_info vm;
-  std::unique_ptr<decide::retry_budget> budget;
+  std::unique_ptr<decide::retry_token_bucket> budget;
   std::string incarnation;
   /// Attempts that wait at a home, and whom to tell.
   std::map<std::string, std::pair<sim_router*, sim_request*>> waiting;
@@ -73,7 +73,7 @@
   void look_around();
   void send_actions();
   void carry_out(const decide::home_action& action);
-  void wake(const decide::order_wake& wake);
+  void wake(const decide::order_load& wake);
   void heartbeat();
   heartbeat_news news() const;
   void learn(const heartbeat_news& news, const std::string& from);
@@ -82,7 +82,7 @@
   void apply(std::uint64_t revision, const std::vector<profile>& profiles);
   void read_back(const std::string& id, std::uint64_t revision, int tries);
   void poll_placements();
-  void add_grant(const decide::want_grants& wanted, int tries);
+  void add_grant(const decide::request_grants& wanted, int tries);
   void remove_grant(const std::string& server, const std::string& model,
                     std::optional<decide::grant_acknowledgement> given);
   void show(const placement& row);
--- a/test/router-test/load_pacer_test.cpp
+++ b/test/router-test/load_pacer_test.cpp
@@ -17,7 +17,8 @@
 }
 
 load_pacer one_at_a_time() {
-  return load_pacer({.parallel = 1, .load_time = milliseconds(1000)});
+  return load_pacer(
+      {.max_parallel = 1, .initial_load_time = milliseconds(1000)});
 }
 
 }  // namespace
--- a/test/router-test/once_desk_test.cpp
+++ b/test/router-test/once_desk_test.cpp
@@ -4,7 +4,7 @@
 
 #include <boragehill/object_store.hpp>
 
-#include "decide/once_claim_row.hpp"
+#include "decide/idempotency_record.hpp"
 #include "fake_table.hpp"
 #include "router/accepted_request.hpp"
 #include "wire/attempt_answer.hpp"
--- a/test/wire-test/planner_codec_test.cpp
+++ b/test/wire-test/planner_codec_test.cpp
@@ -35,19 +35,20 @@
                                         .in_memory = {"m"},
                                         .on_disk = {"m", "n"}}};
   EXPECT_EQ(decode_worker_status(encode(status)), status);
-  const router_report report{.router = "r-1",
-                             .demand = {.demands = {{.service = "s",
-                                                     .model = "m",
-                                                     .adapter = "a1",
-                                                     .arrivals = 3,
-                                                     .waiting = 2,
-                                                     .oldest = milliseconds(70),
-                                                     .worth = 1.5}},
-                                        .flights = {{.server = "i-1",
-                                                     .model = "m",
-                                                     .adapter = {},
-                                                     .requests = 5}}},
-                             .strikes = {"0a1b", "0a1b"}};
+  const router_report report{
+      .router = "r-1",
+      .demand = {.demands = {{.service = "s",
+                              .model = "m",
+                              .adapter = "a1",
+                              .arrivals = 3,
+                              .waiting = 2,
+                              .oldest_wait = milliseconds(70),
+                              .weight = 1.5}},
+                 .in_flight = {{.server = "i-1",
+                                .model = "m",
+                                .adapter = {},
+                                .requests = 5}}},
+      .strikes = {"0a1b", "0a1b"}};
   EXPECT_EQ(decode_router_report(encode(report)), report);
 }
 
