--- a/src/decide/planner_loss_detector.hpp
+++ b/src/decide/planner_loss_detector.hpp
@@ -16,12 +16,12 @@
 class planner_loss_detector {
  public:
   /// The connection to the planner of a term ended or could not be made.
-  /// \param reached True if the connection had been established.
+  /// \param was_connected True if the connection had been established.
   /// \return True if that planner is to be replaced.
-  bool on_link_ended(std::int64_t term, bool reached) {
-    const bool again = this->unreached_term == term;
-    if (!reached) this->unreached_term = term;
-    return reached || again;
+  bool on_link_ended(std::int64_t term, bool was_connected) {
+    const bool failed_before = this->unreached_term == term;
+    if (!was_connected) this->unreached_term = term;
+    return was_connected || failed_before;
   }
 
   /// The connection to a planner was established.
--- a/src/decide/residency_adapters.cpp
+++ b/src/decide/residency_adapters.cpp
@@ -26,7 +26,7 @@
                                       const std::string& model,
                                       const std::string& adapter,
                                       time_point now) {
-  const std::string full = model + '/' + adapter;
+  const std::string qualified_name = model + '/' + adapter;
   planned_worker* best = nullptr;
   std::size_t fewest = 0;
   for (auto& [id, worker] : this->workers_by_id) {
@@ -35,12 +35,12 @@
         !this->is_responsive(worker, now)) {
       continue;
     }
-    if (contains_name(worker.target.adapters, full)) return;
+    if (contains_name(worker.target.adapters, qualified_name)) return;
     // A worker loads no adapter while it loads a model.
-    const std::size_t wait = worker.pending_load || worker.report->busy
-                                 ? static_cast<std::size_t>(1000)
-                                 : 0;
-    const std::size_t count = worker.target.adapters.size() + wait;
+    const std::size_t busy_penalty = worker.pending_load || worker.report->busy
+                                         ? static_cast<std::size_t>(1000)
+                                         : 0;
+    const std::size_t count = worker.target.adapters.size() + busy_penalty;
     if (!best || count < fewest) {
       best = &worker;
       fewest = count;
@@ -50,25 +50,27 @@
   auto& adapters = best->target.adapters;
   if (adapters.size() >= static_cast<std::size_t>(service.adapter_places)) {
     // Evicts the least recently requested adapter without requests in flight.
-    const std::string* oldest = nullptr;
-    time_point oldest_time;
-    for (const auto& each : adapters) {
-      const auto flights = best->in_flight.find(each);
-      if (flights != best->in_flight.end() && flights->second > 0) continue;
-      const auto slash = each.find('/');
-      const auto& asked =
-          this->demand_by_model[each.substr(0, slash)].adapter_last_requested;
-      const auto last = asked.find(each.substr(slash + 1));
-      const time_point time =
-          last == asked.end() ? time_point::min() : last->second;
-      if (oldest && time >= oldest_time) continue;
-      oldest = &each;
-      oldest_time = time;
+    const std::string* least_recent = nullptr;
+    time_point least_recent_time;
+    for (const auto& candidate : adapters) {
+      const auto in_flight = best->in_flight.find(candidate);
+      if (in_flight != best->in_flight.end() && in_flight->second > 0) continue;
+      const auto slash = candidate.find('/');
+      const auto& last_requested =
+          this->demand_by_model[candidate.substr(0, slash)]
+              .adapter_last_requested;
+      const auto requested = last_requested.find(candidate.substr(slash + 1));
+      const time_point requested_at = requested == last_requested.end()
+                                          ? time_point::min()
+                                          : requested->second;
+      if (least_recent && requested_at >= least_recent_time) continue;
+      least_recent = &candidate;
+      least_recent_time = requested_at;
     }
-    if (!oldest) return;
-    remove_name(adapters, std::string(*oldest));
+    if (!least_recent) return;
+    remove_name(adapters, std::string(*least_recent));
   }
-  adapters.push_back(full);
+  adapters.push_back(qualified_name);
 }
 
 bool residency_planner::is_responsive(const planned_worker& worker,
--- a/src/decide/residency_planner.cpp
+++ b/src/decide/residency_planner.cpp
@@ -22,13 +22,13 @@
 constexpr milliseconds min_remaining_load_time{200};
 
 void add_residents_to_target(planned_worker& worker) {
-  for (const auto& each : worker.report->models) {
-    if (!worker.has_target_model(each.name))
-      worker.target.models.push_back(each.name);
-    for (const auto& adapter : each.adapters) {
-      const std::string full = each.name + '/' + adapter;
-      if (!contains_name(worker.target.adapters, full)) {
-        worker.target.adapters.push_back(full);
+  for (const auto& resident : worker.report->models) {
+    if (!worker.has_target_model(resident.name))
+      worker.target.models.push_back(resident.name);
+    for (const auto& adapter : resident.adapters) {
+      const std::string qualified_name = resident.name + '/' + adapter;
+      if (!contains_name(worker.target.adapters, qualified_name)) {
+        worker.target.adapters.push_back(qualified_name);
       }
     }
   }
@@ -40,20 +40,21 @@
         worker.pending_load && worker.pending_load->model == name;
     return !pending && !worker.report->find(name);
   });
-  std::erase_if(worker.target.adapters, [&](const std::string& full) {
-    return !worker.has_target_model(full.substr(0, full.find('/')));
+  std::erase_if(worker.target.adapters, [&](const std::string& qualified_name) {
+    return !worker.has_target_model(
+        qualified_name.substr(0, qualified_name.find('/')));
   });
 }
 
 }  // namespace
 
 void residency_planner::set_catalog(
-    std::shared_ptr<const fleet::catalog> news) {
-  this->catalog = std::move(news);
+    std::shared_ptr<const fleet::catalog> new_catalog) {
+  this->catalog = std::move(new_catalog);
   this->models_by_name.clear();
   for (const auto& service : this->catalog->services) {
-    for (const auto& each : service.models)
-      this->models_by_name[each.name] = &each;
+    for (const auto& model : service.models)
+      this->models_by_name[model.name] = &model;
   }
 }
 
@@ -65,13 +66,13 @@
 
 void residency_planner::set_servers(const fleet::server_list& list,
                                     time_point now) {
-  std::erase_if(this->workers_by_id, [&list](const auto& each) {
-    return !list.servers.contains(each.first);
+  std::erase_if(this->workers_by_id, [&list](const auto& item) {
+    return !list.servers.contains(item.first);
   });
-  for (const auto& [id, entry] : list.servers) {
-    const auto added = this->workers_by_id.try_emplace(id);
-    if (added.second) added.first->second.first_listed = now;
-    added.first->second.list_entry = entry;
+  for (const auto& [id, server] : list.servers) {
+    const auto inserted = this->workers_by_id.try_emplace(id);
+    if (inserted.second) inserted.first->second.first_listed = now;
+    inserted.first->second.list_entry = server;
   }
 }
 
@@ -84,13 +85,13 @@
   worker.report = report;
   worker.reported_at = now;
   worker.local_copies.clear();
-  for (const auto& each : report.on_disk) worker.local_copies[each] = false;
-  for (const auto& each : report.in_memory) worker.local_copies[each] = true;
-  std::erase_if(worker.resident_since, [&report](const auto& each) {
-    return !report.find(each.first);
+  for (const auto& model : report.on_disk) worker.local_copies[model] = false;
+  for (const auto& model : report.in_memory) worker.local_copies[model] = true;
+  std::erase_if(worker.resident_since, [&report](const auto& resident) {
+    return !report.find(resident.first);
   });
-  for (const auto& each : report.models)
-    worker.resident_since.emplace(each.name, now);
+  for (const auto& model : report.models)
+    worker.resident_since.emplace(model.name, now);
   this->update_pending_load(worker, now);
 }
 
@@ -127,13 +128,14 @@
 void residency_planner::on_demand_report(const std::string& router,
                                          const demand_report& report,
                                          time_point now) {
-  for (const auto& each : report.demands) {
-    auto& state = this->demand_by_model[each.model];
-    state.recent_arrivals.add(each.arrivals, now);
-    if (!each.adapter.empty()) state.adapter_last_requested[each.adapter] = now;
+  for (const auto& demand : report.demands) {
+    auto& total = this->demand_by_model[demand.model];
+    total.recent_arrivals.add(demand.arrivals, now);
+    if (!demand.adapter.empty())
+      total.adapter_last_requested[demand.adapter] = now;
   }
-  for (const auto& each : report.unresponsive_servers) {
-    const auto found = this->workers_by_id.find(each);
+  for (const auto& server : report.unresponsive_servers) {
+    const auto found = this->workers_by_id.find(server);
     if (found != this->workers_by_id.end())
       found->second.reported_unresponsive_at = now;
   }
@@ -145,12 +147,12 @@
 }
 
 void residency_planner::aggregate_reports(time_point now) {
-  for (auto& [name, state] : this->demand_by_model) {
-    state.waiting = 0;
-    state.waiting_weight = 0;
-    state.oldest_wait = milliseconds(0);
-    state.in_flight = 0;
-    state.adapter_waiting.clear();
+  for (auto& [name, total] : this->demand_by_model) {
+    total.waiting = 0;
+    total.waiting_weight = 0;
+    total.oldest_wait = milliseconds(0);
+    total.in_flight = 0;
+    total.adapter_waiting.clear();
   }
   this->update_unresponsive_workers(now);
   this->replica_counts.clear();
@@ -165,25 +167,25 @@
     }
   }
   for (const auto& [router, report] : this->demand_by_router) {
-    for (const auto& each : report.demands) {
-      auto& state = this->demand_by_model[each.model];
-      state.waiting += each.waiting;
-      state.waiting_weight += each.weight;
-      state.oldest_wait = std::max(state.oldest_wait, each.oldest_wait);
-      if (!each.adapter.empty() && each.waiting > 0) {
-        state.adapter_waiting[each.adapter] += each.waiting;
+    for (const auto& demand : report.demands) {
+      auto& total = this->demand_by_model[demand.model];
+      total.waiting += demand.waiting;
+      total.waiting_weight += demand.weight;
+      total.oldest_wait = std::max(total.oldest_wait, demand.oldest_wait);
+      if (!demand.adapter.empty() && demand.waiting > 0) {
+        total.adapter_waiting[demand.adapter] += demand.waiting;
       }
     }
-    for (const auto& each : report.in_flight) {
-      const auto found = this->workers_by_id.find(each.server);
+    for (const auto& entry : report.in_flight) {
+      const auto found = this->workers_by_id.find(entry.server);
       if (found == this->workers_by_id.end()) continue;
-      found->second.in_flight[each.model] += each.requests;
-      if (!each.adapter.empty()) {
-        found->second.in_flight[each.model + '/' + each.adapter] +=
-            each.requests;
+      found->second.in_flight[entry.model] += entry.requests;
+      if (!entry.adapter.empty()) {
+        found->second.in_flight[entry.model + '/' + entry.adapter] +=
+            entry.requests;
       }
-      found->second.total_in_flight += each.requests;
-      this->demand_by_model[each.model].in_flight += each.requests;
+      found->second.total_in_flight += entry.requests;
+      this->demand_by_model[entry.model].in_flight += entry.requests;
     }
   }
 }
@@ -199,10 +201,10 @@
   // it. Another router that has requests in flight there and does not report it
   // shows that the worker is alive.
   for (const auto& [router, report] : this->demand_by_router) {
-    for (const auto& each : report.in_flight) {
-      const auto found = this->workers_by_id.find(each.server);
+    for (const auto& entry : report.in_flight) {
+      const auto found = this->workers_by_id.find(entry.server);
       if (found == this->workers_by_id.end()) continue;
-      if (!contains_name(report.unresponsive_servers, each.server))
+      if (!contains_name(report.unresponsive_servers, entry.server))
         found->second.is_unresponsive = false;
     }
   }
@@ -231,25 +233,25 @@
 
 std::vector<const fleet::model*> residency_planner::load_waiting_models(
     const fleet::service& service, time_point now) {
-  std::vector<const fleet::model*> asked;
+  std::vector<const fleet::model*> requested;
   for (const auto& model : service.models) {
     const auto found = this->demand_by_model.find(model.name);
     if (found == this->demand_by_model.end() || found->second.waiting == 0)
       continue;
-    if (this->replica_count(model.name) == 0) asked.push_back(&model);
+    if (this->replica_count(model.name) == 0) requested.push_back(&model);
   }
   // Highest weight first, then longest wait.
-  std::sort(asked.begin(), asked.end(),
+  std::sort(requested.begin(), requested.end(),
             [this](const fleet::model* left, const fleet::model* right) {
-              const auto& one = this->demand_by_model.at(left->name);
-              const auto& other = this->demand_by_model.at(right->name);
-              if (one.waiting_weight != other.waiting_weight) {
-                return one.waiting_weight > other.waiting_weight;
+              const auto& left_demand = this->demand_by_model.at(left->name);
+              const auto& right_demand = this->demand_by_model.at(right->name);
+              if (left_demand.waiting_weight != right_demand.waiting_weight) {
+                return left_demand.waiting_weight > right_demand.waiting_weight;
               }
-              return one.oldest_wait > other.oldest_wait;
+              return left_demand.oldest_wait > right_demand.oldest_wait;
             });
   std::vector<const fleet::model*> unplaced;
-  for (const auto* model : asked) {
+  for (const auto* model : requested) {
     const auto chosen = this->choose_worker(
         service, *model, std::numeric_limits<double>::max(), now);
     if (chosen && !chosen->from_store) {
@@ -258,9 +260,9 @@
     }
     unplaced.push_back(model);
     if (!chosen) continue;
-    const auto asked_lately =
+    const auto requests_in_window =
         this->demand_by_model.at(model->name).recent_arrivals.value(now);
-    this->wanted_store_loads.push_back({model, "wake", asked_lately});
+    this->wanted_store_loads.push_back({model, "wake", requests_in_window});
   }
   return unplaced;
 }
@@ -270,43 +272,47 @@
     const std::vector<const fleet::model*>& unplaced, time_point now) {
   std::map<std::string, time_point> free_at;
   for (const auto& [id, worker] : this->workers_by_id) {
-    const bool counts = worker.list_entry.service == service.name &&
-                        !worker.is_draining() &&
-                        this->is_responsive(worker, now);
-    if (!counts) continue;
-    auto& at = free_at[id] = now;
+    const bool is_usable = worker.list_entry.service == service.name &&
+                           !worker.is_draining() &&
+                           this->is_responsive(worker, now);
+    if (!is_usable) continue;
+    auto& free_from = free_at[id] = now;
     if (!worker.pending_load) continue;
-    at = std::max(worker.pending_load->due, now + min_remaining_load_time);
+    free_from =
+        std::max(worker.pending_load->due, now + min_remaining_load_time);
     const auto& model = worker.pending_load->model;
     // If it is already loaded elsewhere, no request waits for this load.
     if (this->loaded_models.contains(model)) continue;
-    const auto known = this->ready_times.try_emplace(model, at).first;
-    known->second = std::min(known->second, at);
+    const auto ready_time =
+        this->ready_times.try_emplace(model, free_from).first;
+    ready_time->second = std::min(ready_time->second, free_from);
   }
-  auto store_free = this->store_slot_free_times(now);
+  auto slot_free_times = this->store_slot_free_times(now);
   for (const auto* model : unplaced) {
     // A load from the store was started in this step.
     if (this->replica_count(model->name) > 0) continue;
-    std::string soonest;
-    time_point ready;
-    bool from_store = false;
-    for (const auto& [id, at] : free_at) {
+    std::string soonest_worker;
+    time_point soonest_finish;
+    bool soonest_needs_store = false;
+    for (const auto& [id, free_from] : free_at) {
       const auto& worker = this->workers_by_id.at(id);
-      const bool fetched = !worker.local_copies.contains(model->name);
-      const auto begin = fetched ? std::max(at, store_free.front()) : at;
-      const auto there = begin + worker.load_time(*model);
-      if (!soonest.empty() && there >= ready) continue;
-      soonest = id;
-      ready = there;
-      from_store = fetched;
+      const bool needs_store = !worker.local_copies.contains(model->name);
+      const auto start = needs_store
+                             ? std::max(free_from, slot_free_times.front())
+                             : free_from;
+      const auto finish = start + worker.load_time(*model);
+      if (!soonest_worker.empty() && finish >= soonest_finish) continue;
+      soonest_worker = id;
+      soonest_finish = finish;
+      soonest_needs_store = needs_store;
     }
-    if (soonest.empty()) return;
-    free_at[soonest] = ready;
-    if (from_store) {
-      store_free.front() = ready;
-      std::sort(store_free.begin(), store_free.end());
+    if (soonest_worker.empty()) return;
+    free_at[soonest_worker] = soonest_finish;
+    if (soonest_needs_store) {
+      slot_free_times.front() = soonest_finish;
+      std::sort(slot_free_times.begin(), slot_free_times.end());
     }
-    this->ready_times[model->name] = ready;
+    this->ready_times[model->name] = soonest_finish;
   }
 }
 
@@ -319,60 +325,60 @@
     const int replicas = this->replica_count(model.name);
     if (replicas == 0) continue;
     const double requests = found->second.in_flight + found->second.waiting;
-    const double each = requests / replicas;
-    if (each > this->settings.requests_per_replica) {
-      busy.emplace_back(each, &model);
+    const double requests_per_replica = requests / replicas;
+    if (requests_per_replica > this->settings.requests_per_replica) {
+      busy.emplace_back(requests_per_replica, &model);
     }
   }
   // Free workers and store slots are scarce: most requests per replica first.
   std::sort(busy.begin(), busy.end(), [](const auto& left, const auto& right) {
     return left.first > right.first;
   });
-  for (const auto& [each, model] : busy) {
-    this->scale_out(service, *model, each, now);
+  for (const auto& [requests_per_replica, model] : busy) {
+    this->scale_out(service, *model, requests_per_replica, now);
   }
 }
 
 void residency_planner::scale_out(const fleet::service& service,
-                                  const fleet::model& model, double each,
-                                  time_point now) {
-  const auto& state = this->demand_by_model.at(model.name);
+                                  const fleet::model& model,
+                                  double requests_per_replica, time_point now) {
+  const auto& demand = this->demand_by_model.at(model.name);
   const int replicas = this->replica_count(model.name);
-  double load_there = 0;
+  double current_load = 0;
   for (const auto& [id, worker] : this->workers_by_id) {
     if (worker.has_target_model(model.name))
-      load_there += worker.total_in_flight;
+      current_load += worker.total_in_flight;
   }
-  load_there = std::max(load_there / replicas, each);
+  current_load = std::max(current_load / replicas, requests_per_replica);
   const auto chosen = this->choose_worker(
-      service, model, this->settings.scale_out_load_ratio * load_there, now);
+      service, model, this->settings.scale_out_load_ratio * current_load, now);
   if (!chosen) return;
   // The eviction cost must not exceed the gain of these requests.
-  if (chosen->eviction_cost_seconds > each) return;
+  if (chosen->eviction_cost_seconds > requests_per_replica) return;
   if (!chosen->from_store) {
     return this->start_load(*chosen, "relief", now);
   }
   // The store is many times slower, so it is used only for requests that exceed
   // the capacity of all replicas.
-  if (!this->is_starved(model.name, state)) return;
+  if (!this->is_starved(model.name, demand)) return;
   this->wanted_store_loads.push_back(
-      {&model, "relief", state.waiting * waiting_to_arrivals_factor});
+      {&model, "relief", demand.waiting * waiting_to_arrivals_factor});
 }
 
 std::optional<residency_planner::load_choice> residency_planner::choose_worker(
     const fleet::service& service, const fleet::model& model,
-    double most_requests, time_point now) {
+    double max_in_flight, time_point now) {
   std::optional<load_choice> best;
-  const bool may_load =
+  const bool may_use_store =
       this->active_store_loads() < this->store_limit.limit() &&
       !this->is_awaiting_first_reports(service, now);
   for (const auto& [id, worker] : this->workers_by_id) {
     if (worker.list_entry.service != service.name || worker.is_draining())
       continue;
     if (!this->is_responsive(worker, now) ||
-        worker.total_in_flight > most_requests)
+        worker.total_in_flight > max_in_flight)
       continue;
-    auto found = this->evaluate_worker(model, id, worker, may_load, now);
+    auto found = this->evaluate_worker(model, id, worker, may_use_store, now);
     if (found && (!best || found->cost_seconds < best->cost_seconds))
       best = std::move(found);
   }
@@ -390,8 +396,8 @@
 std::optional<residency_planner::load_choice>
 residency_planner::evaluate_worker(const fleet::model& model,
                                    const std::string& id,
-                                   const planned_worker& worker, bool may_load,
-                                   time_point now) const {
+                                   const planned_worker& worker,
+                                   bool may_use_store, time_point now) const {
   if (worker.has_target_model(model.name) || worker.report->find(model.name)) {
     return std::nullopt;
   }
@@ -399,57 +405,59 @@
                     .model = &model,
                     .load_time = worker.load_time(model),
                     .from_store = !worker.local_copies.contains(model.name)};
-  if (found.from_store && !may_load) return std::nullopt;
-  double room = worker.free_memory_mb;
-  for (const auto& [cost, name] : worker.eviction_candidates) {
-    if (room >= model.weights_mb) break;
-    const auto* victim = this->find_model(name);
+  if (found.from_store && !may_use_store) return std::nullopt;
+  double free_mb = worker.free_memory_mb;
+  for (const auto& [eviction_cost, name] : worker.eviction_candidates) {
+    if (free_mb >= model.weights_mb) break;
+    const auto* candidate = this->find_model(name);
     const auto* resident = worker.report->find(name);
-    if (!victim || !resident) continue;
-    room += victim->weights_mb +
-            victim->adapter_mb * static_cast<double>(resident->adapters.size());
+    if (!candidate || !resident) continue;
+    free_mb +=
+        candidate->weights_mb +
+        candidate->adapter_mb * static_cast<double>(resident->adapters.size());
     found.evictions.push_back(name);
-    found.eviction_cost_seconds += cost;
+    found.eviction_cost_seconds += eviction_cost;
   }
-  if (room < model.weights_mb) return std::nullopt;
-  const double crowd = worker.list_entry.slots > 0
-                           ? static_cast<double>(worker.total_in_flight) /
-                                 worker.list_entry.slots
-                           : 0;
+  if (free_mb < model.weights_mb) return std::nullopt;
+  // Full utilization of a worker counts as one second of waiting.
+  const double utilization = worker.list_entry.slots > 0
+                                 ? static_cast<double>(worker.total_in_flight) /
+                                       worker.list_entry.slots
+                                 : 0;
   // A running load finishes first.
-  constexpr milliseconds unknown_order{500};
-  milliseconds before{0};
+  constexpr milliseconds unknown_load_time{500};
+  milliseconds delay{0};
   if (worker.pending_load) {
-    before = std::chrono::ceil<milliseconds>(worker.pending_load->due - now);
-    before = std::max(before, min_remaining_load_time);
+    delay = std::chrono::ceil<milliseconds>(worker.pending_load->due - now);
+    delay = std::max(delay, min_remaining_load_time);
   } else if (worker.report->busy) {
-    before = unknown_order;
+    delay = unknown_load_time;
   }
-  const auto claims = this->queued_load_time.find(id);
-  if (claims != this->queued_load_time.end()) before += claims->second;
-  found.cost_seconds = seconds_of(found.load_time + before) +
-                       found.eviction_cost_seconds + crowd;
+  const auto queued = this->queued_load_time.find(id);
+  if (queued != this->queued_load_time.end()) delay += queued->second;
+  found.cost_seconds = seconds_of(found.load_time + delay) +
+                       found.eviction_cost_seconds + utilization;
   return found;
 }
 
-void residency_planner::start_load(const load_choice& chosen, const char* why,
-                                   time_point now) {
+void residency_planner::start_load(const load_choice& chosen,
+                                   const char* reason, time_point now) {
   const fleet::model& model = *chosen.model;
-  const auto& state = this->demand_by_model[model.name];
+  const auto& demand = this->demand_by_model[model.name];
   this->decided_loads.push_back({.server = chosen.worker,
                                  .model = model.name,
-                                 .reason = why,
+                                 .reason = reason,
                                  .evicted_models = chosen.evictions,
                                  .load_time = chosen.load_time,
                                  .from_store = chosen.from_store,
                                  .cost_s = chosen.cost_seconds,
-                                 .waiting = state.waiting,
-                                 .in_flight = state.in_flight,
+                                 .waiting = demand.waiting,
+                                 .in_flight = demand.in_flight,
                                  .replicas = this->replica_count(model.name)});
   auto& worker = this->workers_by_id.at(chosen.worker);
-  for (const auto& victim : chosen.evictions) {
-    remove_name(worker.target.models, victim);
-    --this->replica_counts[victim];
+  for (const auto& evicted : chosen.evictions) {
+    remove_name(worker.target.models, evicted);
+    --this->replica_counts[evicted];
   }
   ++this->replica_counts[model.name];
   this->update_eviction_candidates_of_holders(chosen.evictions, now);
--- a/src/decide/residency_planner.hpp
+++ b/src/decide/residency_planner.hpp
@@ -41,7 +41,7 @@
   explicit residency_planner(const planner_settings& settings)
       : settings(settings), store_limit(settings.initial_store_loads) {}
 
-  void set_catalog(std::shared_ptr<const fleet::catalog> news);
+  void set_catalog(std::shared_ptr<const fleet::catalog> new_catalog);
   void set_servers(const fleet::server_list& list, time_point now);
   /// Starts planning as the new leader. Earlier reports are dropped because
   /// they may be outdated.
@@ -103,7 +103,7 @@
   /// were just evicted elsewhere, so that one step does not evict the last
   /// replica of a busy model.
   void update_eviction_candidates_of_holders(
-      const std::vector<std::string>& dropped, time_point now);
+      const std::vector<std::string>& evicted, time_point now);
   const fleet::model* find_model(const std::string& name) const;
   void update_pending_load(planned_worker& worker, time_point now);
   /// \return Requested models that cannot be loaded now.
@@ -121,13 +121,13 @@
                               const std::vector<const fleet::model*>& unplaced,
                               time_point now);
   void scale_out_busy_models(const fleet::service& service, time_point now);
-  /// \param each Requests per replica.
+  /// Adds a replica of a busy model.
   void scale_out(const fleet::service& service, const fleet::model& model,
-                 double each, time_point now);
+                 double requests_per_replica, time_point now);
   /// \return True if requests for a loaded model exceed the capacity of its
   ///     replicas and no store load for it is running.
   bool is_starved(const std::string& model,
-                  const aggregated_demand& state) const;
+                  const aggregated_demand& demand) const;
   /// Loads the models with the highest replica gain into free memory.
   ///
   /// After a release, the loss of a failure domain or a crash, workers come
@@ -147,8 +147,8 @@
   ///     has a copy or is being loaded.
   const fleet::model* most_requested_without_copy(const fleet::service& service,
                                                   time_point now) const;
-  /// \return An idle worker that can load the model at an eviction cost below
-  ///     `max_idle_eviction_cost_s`.
+  /// \return An idle worker that can load the model by evicting idle models
+  ///     only.
   std::optional<load_choice> find_idle_worker(const fleet::service& service,
                                               const fleet::model& model,
                                               time_point now) const;
@@ -162,7 +162,7 @@
                                             time_point now) const;
   /// \return Waiting time in seconds, summed over all expected requests, that
   ///     one more replica saves.
-  double replica_gain_s(const fleet::model& model, time_point now) const;
+  double replica_gain_seconds(const fleet::model& model, time_point now) const;
   void collect_local_copies();
   bool may_preload_from_store() const;
   void place_adapters(const fleet::service& service, time_point now);
@@ -170,16 +170,17 @@
                      const std::string& adapter, time_point now);
   std::optional<load_choice> choose_worker(const fleet::service& service,
                                            const fleet::model& model,
-                                           double most_requests,
+                                           double max_in_flight,
                                            time_point now);
   std::optional<load_choice> evaluate_worker(const fleet::model& model,
                                              const std::string& id,
                                              const planned_worker& worker,
-                                             bool may_load,
+                                             bool may_use_store,
                                              time_point now) const;
-  double eviction_cost_s(const planned_worker& worker, const std::string& model,
-                         time_point now) const;
-  void start_load(const load_choice& chosen, const char* why, time_point now);
+  double eviction_cost_seconds(const planned_worker& worker,
+                               const std::string& model, time_point now) const;
+  void start_load(const load_choice& chosen, const char* reason,
+                  time_point now);
   bool is_responsive(const planned_worker& worker, time_point now) const;
   /// \return Responsive workers that serve the model or are about to. A crashed
   ///     worker stays in the server list for seconds; counting its models would
--- a/src/decide/residency_prefetch.cpp
+++ b/src/decide/residency_prefetch.cpp
@@ -10,17 +10,17 @@
 const fleet::model* residency_planner::most_requested_without_copy(
     const fleet::service& service, time_point now) const {
   const fleet::model* best = nullptr;
-  double most = 0;
+  double most_requests = 0;
   for (const auto& model : service.models) {
     if (this->models_with_copy.contains(model.name)) continue;
     if (this->replica_count(model.name) > 0) continue;
     const auto found = this->demand_by_model.find(model.name);
-    const double asked = found == this->demand_by_model.end()
-                             ? 0
-                             : found->second.recent_arrivals.value(now);
-    if (best && asked <= most) continue;
+    const double requests = found == this->demand_by_model.end()
+                                ? 0
+                                : found->second.recent_arrivals.value(now);
+    if (best && requests <= most_requests) continue;
     best = &model;
-    most = asked;
+    most_requests = requests;
   }
   return best;
 }
--- a/src/decide/residency_preload.cpp
+++ b/src/decide/residency_preload.cpp
@@ -9,26 +9,28 @@
 
 namespace boragehill::decide {
 
-double residency_planner::replica_gain_s(const fleet::model& model,
-                                         time_point now) const {
+double residency_planner::replica_gain_seconds(const fleet::model& model,
+                                               time_point now) const {
   const auto found = this->demand_by_model.find(model.name);
   if (found == this->demand_by_model.end()) return 0;
-  const auto& state = found->second;
+  const auto& demand = found->second;
   const int replicas = this->replica_count(model.name);
-  const double reload = seconds_of(model.disk_load);
+  const double reload_seconds = seconds_of(model.disk_load);
   if (replicas == 0) {
     // Whether and where it is loaded on demand was decided before; it may be
     // waiting for a worker with a copy on disk.
-    if (state.waiting > 0) return 0;
-    const double expected =
-        state.recent_arrivals.per_second(now) * horizon_seconds;
+    if (demand.waiting > 0) return 0;
+    const double expected_requests =
+        demand.recent_arrivals.per_second(now) * horizon_seconds;
     const bool has_copy = this->models_with_copy.contains(model.name);
-    return expected * (has_copy ? reload : seconds_of(model.store_load));
+    return expected_requests *
+           (has_copy ? reload_seconds : seconds_of(model.store_load));
   }
-  const double each =
-      (state.in_flight + state.waiting) / static_cast<double>(replicas);
-  const double over = each - this->settings.requests_per_replica;
-  return std::max(over, 0.0) * reload;
+  const double requests_per_replica =
+      (demand.in_flight + demand.waiting) / static_cast<double>(replicas);
+  const double excess =
+      requests_per_replica - this->settings.requests_per_replica;
+  return std::max(excess, 0.0) * reload_seconds;
 }
 
 void residency_planner::collect_local_copies() {
@@ -43,8 +45,8 @@
 
 bool residency_planner::may_preload_from_store() const {
   // One store slot stays free for a model that requests wait for.
-  const int others = this->active_store_loads();
-  return others == 0 || others + 1 < this->store_limit.limit();
+  const int active_loads = this->active_store_loads();
+  return active_loads == 0 || active_loads + 1 < this->store_limit.limit();
 }
 
 std::vector<const planned_worker*> residency_planner::workers_with_free_memory(
@@ -71,7 +73,7 @@
   for (const auto& model : service.models) {
     if (worker.free_memory_mb < model.weights_mb) continue;
     if (worker.has_target_model(model.name)) continue;
-    const double gain = this->replica_gain_s(model, now);
+    const double gain = this->replica_gain_seconds(model, now);
     if (gain <= this->settings.min_preload_gain_s) continue;
     const load_choice found{
         .worker = worker.list_entry.id,
@@ -91,16 +93,16 @@
 void residency_planner::preload_free_memory(const fleet::service& service,
                                             time_point now) {
   // Usually no worker has free memory, and the copies need not be collected.
-  const auto free = this->workers_with_free_memory(service, now);
-  if (free.empty()) return;
+  const auto workers = this->workers_with_free_memory(service, now);
+  if (workers.empty()) return;
   this->collect_local_copies();
-  for (const auto* worker : free) {
+  for (const auto* worker : workers) {
     const auto chosen = this->choose_preload(*worker, service, now);
     if (!chosen) continue;
-    const bool may_load =
+    const bool may_start =
         !chosen->from_store || (this->may_preload_from_store() &&
                                 !this->is_awaiting_first_reports(service, now));
-    if (may_load) this->start_load(*chosen, "stock", now);
+    if (may_start) this->start_load(*chosen, "stock", now);
   }
 }
 
--- a/src/decide/residency_store.cpp
+++ b/src/decide/residency_store.cpp
@@ -23,9 +23,9 @@
 
 /// \return Mean number of loads from the store during this load, itself
 ///     included.
-double mean_concurrent_loads(const planned_load& load, milliseconds took) {
-  if (took <= milliseconds(0)) return 0;
-  return load.concurrency_integral_ms / static_cast<double>(took.count());
+double mean_concurrent_loads(const planned_load& load, milliseconds elapsed) {
+  if (elapsed <= milliseconds(0)) return 0;
+  return load.concurrency_integral_ms / static_cast<double>(elapsed.count());
 }
 
 }  // namespace
@@ -42,13 +42,13 @@
 }
 
 bool residency_planner::is_starved(const std::string& model,
-                                   const aggregated_demand& state) const {
-  if (state.waiting < this->settings.requests_per_replica) return false;
-  if (state.oldest_wait < this->settings.starvation_wait) return false;
+                                   const aggregated_demand& demand) const {
+  if (demand.waiting < this->settings.requests_per_replica) return false;
+  if (demand.oldest_wait < this->settings.starvation_wait) return false;
   // At most one store load per model, so that other starved models get a slot.
   return std::none_of(this->workers_by_id.begin(), this->workers_by_id.end(),
-                      [&model](const auto& each) {
-                        const auto& worker = each.second;
+                      [&model](const auto& item) {
+                        const auto& worker = item.second;
                         return worker.is_loading_from_store() &&
                                worker.pending_load->model == model;
                       });
@@ -60,10 +60,10 @@
             [](const auto& left, const auto& right) {
               return left.requests_in_window > right.requests_in_window;
             });
-  const bool is_new =
+  const bool is_observing =
       now < this->started_at + this->settings.observation_period;
   for (const auto& wanted : this->wanted_store_loads) {
-    if (is_new &&
+    if (is_observing &&
         wanted.requests_in_window < this->settings.requests_per_replica)
       return;
     if (this->active_store_loads() >= this->store_limit.limit()) return;
@@ -74,14 +74,14 @@
 }
 
 void residency_planner::observe_store_loads(time_point now) {
-  const int at_once = this->active_store_loads();
-  const auto since = std::chrono::duration<double, std::milli>(
+  const int concurrent_loads = this->active_store_loads();
+  const auto elapsed = std::chrono::duration<double, std::milli>(
       now - std::exchange(this->store_observed_at, now));
   for (auto& [id, worker] : this->workers_by_id) {
     if (!worker.is_loading_from_store()) continue;
     auto& load = *worker.pending_load;
     if (!load.first_seen_busy) continue;
-    load.concurrency_integral_ms += since.count() * at_once;
+    load.concurrency_integral_ms += elapsed.count() * concurrent_loads;
     if (now > load.due) this->on_store_load_overdue(load, now);
   }
 }
@@ -91,45 +91,46 @@
   // An order that the worker did not start in time says nothing about the
   // store.
   if (!load.first_seen_busy) return;
-  const auto took =
+  const auto elapsed =
       std::chrono::ceil<milliseconds>(now - *load.first_seen_busy);
-  this->store_limit.on_load_finished(load.nominal_load_time, took,
-                                     mean_concurrent_loads(load, took), now);
+  this->store_limit.on_load_finished(load.nominal_load_time, elapsed,
+                                     mean_concurrent_loads(load, elapsed), now);
 }
 
 void residency_planner::on_store_load_overdue(planned_load& load,
                                               time_point now) {
-  const auto took =
+  const auto elapsed =
       std::chrono::ceil<milliseconds>(now - *load.first_seen_busy);
-  if (took <= load.nominal_load_time +
-                  load.nominal_load_time / load_time_tolerance_divisor +
-                  completion_report_delay) {
+  if (elapsed <= load.nominal_load_time +
+                     load.nominal_load_time / load_time_tolerance_divisor +
+                     completion_report_delay) {
     load.due = now + completion_report_delay;
     return;
   }
   // The load is not finished, so it can only lower the limit, never raise it.
-  this->store_limit.on_load_overdue(load.nominal_load_time, took,
-                                    mean_concurrent_loads(load, took), now);
+  this->store_limit.on_load_overdue(load.nominal_load_time, elapsed,
+                                    mean_concurrent_loads(load, elapsed), now);
   // The slowdown is known only at the end. Until then the remaining time is
   // assumed to equal the time so far: if the model were reported as almost
   // ready, callers would wait for a model that cannot be ready in time.
-  load.due = now + took;
+  load.due = now + elapsed;
 }
 
 std::vector<time_point> residency_planner::store_slot_free_times(
     time_point now) const {
-  std::vector<time_point> free;
+  std::vector<time_point> free_times;
   for (const auto& [id, worker] : this->workers_by_id) {
     if (!worker.is_loading_from_store()) continue;
-    free.push_back(std::max(worker.pending_load->due, now));
+    free_times.push_back(std::max(worker.pending_load->due, now));
   }
-  std::sort(free.begin(), free.end());
-  const auto places = static_cast<std::size_t>(this->store_limit.limit());
+  std::sort(free_times.begin(), free_times.end());
+  const auto slots = static_cast<std::size_t>(this->store_limit.limit());
   // If more loads are running than the limit, the first completions free no
   // slot.
-  if (free.size() > places) free.erase(free.begin(), free.end() - places);
-  while (free.size() < places) free.insert(free.begin(), now);
-  return free;
+  if (free_times.size() > slots)
+    free_times.erase(free_times.begin(), free_times.end() - slots);
+  while (free_times.size() < slots) free_times.insert(free_times.begin(), now);
+  return free_times;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/store_concurrency_limit.hpp
+++ b/src/decide/store_concurrency_limit.hpp
@@ -30,20 +30,21 @@
   /// costs the loads that take part in it up to twice their time.
   static constexpr milliseconds raise_retry_interval{60000};
 
-  /// \param first Limit until load times have been measured.
-  explicit store_concurrency_limit(int first) : current_limit(first) {}
+  /// \param initial Limit until load times have been measured.
+  explicit store_concurrency_limit(int initial) : current_limit(initial) {}
 
   /// A load finished, or has been running for longer than it should.
-  /// \param usual Its time when nothing else is loading.
-  /// \param took Its time so far.
-  /// \param at_once Mean number of loads running during it, itself included.
-  void on_load_finished(milliseconds usual, milliseconds took, double at_once,
-                        time_point now);
+  /// \param nominal Its load time when nothing else is loading.
+  /// \param elapsed Its load time so far.
+  /// \param concurrent_loads Mean number of loads running during it, itself
+  /// included.
+  void on_load_finished(milliseconds nominal, milliseconds elapsed,
+                        double concurrent_loads, time_point now);
 
   /// A load is still running past its due time.
-  /// \param so_far Time since it started.
-  void on_load_overdue(milliseconds usual, milliseconds so_far, double at_once,
-                       time_point now);
+  /// \param elapsed Time since it started.
+  void on_load_overdue(milliseconds nominal, milliseconds elapsed,
+                       double concurrent_loads, time_point now);
 
   /// \return Number of loads that may run concurrently; at least one.
   int limit() const { return this->current_limit; }
