--- a/src/decide/catalog.cpp
+++ b/src/decide/catalog.cpp
@@ -9,8 +9,9 @@
     : revision_number(revision), profile_list(std::move(profiles)) {
   for (std::size_t i = 0; i < this->profile_list.size(); ++i) {
     const profile& owner = this->profile_list[i];
-    for (const auto& service : owner.services)
+    for (const auto& service : owner.services) {
       this->profile_index_by_service[service] = i;
+    }
     for (const auto& model : owner.models) this->add_model(owner, model);
   }
 }
--- a/src/decide/grant_change.cpp
+++ b/src/decide/grant_change.cpp
@@ -40,12 +40,12 @@
                                       const grant& added) {
   if (added.model != model_row.model) return std::nullopt;
   if (added.bytes > server_row.capacity_bytes) return std::nullopt;
-  const bool named = names_server(model_row, server_row.id);
-  const bool held = holds_grant(server_row, added.model);
-  if (named && held) return std::nullopt;
+  const bool is_named = names_server(model_row, server_row.id);
+  const bool has_grant = holds_grant(server_row, added.model);
+  if (is_named && has_grant) return std::nullopt;
   grant_change change{model_row, server_row};
-  if (!named) change.model_row.servers.push_back(server_row.id);
-  if (!held) {
+  if (!is_named) change.model_row.servers.push_back(server_row.id);
+  if (!has_grant) {
     grant numbered = added;
     numbered.serial = ++change.server_row.last_serial;
     change.server_row.grants.push_back(std::move(numbered));
@@ -53,23 +53,22 @@
   return change;
 }
 
-std::optional<grant_change> remove_grant(const placement& model_row,
-                                         const server_record& server_row,
-                                         const std::string& model,
-                                         const grant_acknowledgement& given) {
+std::optional<grant_change> remove_grant(
+    const placement& model_row, const server_record& server_row,
+    const std::string& model, const grant_acknowledgement& given_up) {
   // An acknowledgement can arrive after its agent restarted, found the grant
   // still in the row and loaded the model again. Removing the grant then would
   // leave one replica too many. A restart raises the fencing number before it
   // reads the row, so the acknowledgement's number is outdated; after a restart
   // that follows this check, the row's etag fails the transaction.
-  if (server_row.fence != given.fence) return std::nullopt;
+  if (server_row.fence != given_up.fence) return std::nullopt;
   // It can also arrive late at another home, after one home removed the grant
   // and granted the same server a new one. Applied to the new grant, it would
   // remove the grant of a loaded replica.
   const auto held = std::ranges::find(server_row.grants, model, &grant::model);
-  const bool other =
-      held != server_row.grants.end() && held->serial != given.serial;
-  if (other) return std::nullopt;
+  const bool is_of_other_grant =
+      held != server_row.grants.end() && held->serial != given_up.serial;
+  if (is_of_other_grant) return std::nullopt;
   return without_grant(model_row, server_row, model);
 }
 
--- a/src/decide/grant_change.hpp
+++ b/src/decide/grant_change.hpp
@@ -29,8 +29,7 @@
 /// \param server_row `server/<id>` as read.
 /// \param added The grant to add.
 /// \return Nothing if both rows already contain the grant, the models differ,
-/// or
-///   the grant alone exceeds the server's capacity.
+///   or the grant alone exceeds the server's capacity.
 std::optional<grant_change> add_grant(const placement& model_row,
                                       const server_record& server_row,
                                       const grant& added);
--- a/src/decide/keep_warm.cpp
+++ b/src/decide/keep_warm.cpp
@@ -18,9 +18,9 @@
     if (rule.idle_weight <= 0) return keep_warm_limit;
     const double ratio =
         std::max(rule.cold_start_weight, 0.0) / rule.idle_weight;
-    const double time = ratio * static_cast<double>(this->load_time.count());
-    const auto limit = static_cast<double>(keep_warm_limit.count());
-    return milliseconds(std::llround(std::min(time, limit)));
+    const double time_ms = ratio * static_cast<double>(this->load_time.count());
+    const auto limit_ms = static_cast<double>(keep_warm_limit.count());
+    return milliseconds(std::llround(std::min(time_ms, limit_ms)));
   }
 
   milliseconds operator()(const fixed_timer_rule& rule) const {
@@ -36,28 +36,29 @@
 }  // namespace
 
 void gap_histogram::add(milliseconds gap) {
-  std::size_t place = 0;
-  while (place + 1 < bucket_count && (std::int64_t{1} << place) < gap.count()) {
-    ++place;
+  std::size_t bucket = 0;
+  while (bucket + 1 < bucket_count &&
+         (std::int64_t{1} << bucket) < gap.count()) {
+    ++bucket;
   }
-  ++this->bucket_counts.at(place);
+  ++this->bucket_counts.at(bucket);
   ++this->total;
 }
 
-milliseconds gap_histogram::quantile(double share) const {
-  const double wanted = share * static_cast<double>(this->total);
-  std::uint64_t seen = 0;
-  std::size_t place = 0;
-  for (; place + 1 < bucket_count; ++place) {
-    seen += this->bucket_counts.at(place);
-    if (static_cast<double>(seen) >= wanted) break;
+milliseconds gap_histogram::quantile(double fraction) const {
+  const double target_count = fraction * static_cast<double>(this->total);
+  std::uint64_t counted = 0;
+  std::size_t bucket = 0;
+  for (; bucket + 1 < bucket_count; ++bucket) {
+    counted += this->bucket_counts.at(bucket);
+    if (static_cast<double>(counted) >= target_count) break;
   }
-  return milliseconds(std::int64_t{1} << place);
+  return milliseconds(std::int64_t{1} << bucket);
 }
 
-milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load,
+milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load_time,
                             const gap_histogram& gaps) {
-  return std::visit(keep_warm_visitor{load, gaps}, rule);
+  return std::visit(keep_warm_visitor{load_time, gaps}, rule);
 }
 
 bool is_past_keep_warm(milliseconds keep_warm, time_point last_used,
--- a/src/decide/keep_warm.hpp
+++ b/src/decide/keep_warm.hpp
@@ -49,8 +49,8 @@
   std::uint64_t count() const { return this->total; }
   /// Returns the upper bound of the bucket that contains a quantile.
   ///
-  /// \param share The quantile, from 0 to 1.
-  milliseconds quantile(double share) const;
+  /// \param fraction The quantile, from 0 to 1.
+  milliseconds quantile(double fraction) const;
 
  private:
   static constexpr std::size_t bucket_count = 32;
@@ -61,9 +61,9 @@
 /// Returns how long an idle replica stays loaded after its last request.
 ///
 /// \param rule The rule and its weights.
-/// \param load Time to load the model again.
+/// \param load_time Time to load the model again.
 /// \param gaps Gaps between the model's requests so far.
-milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load,
+milliseconds keep_warm_time(const keep_warm_rule& rule, milliseconds load_time,
                             const gap_histogram& gaps);
 
 /// Returns whether an idle replica is past its keep-warm time.
--- a/src/decide/residency.cpp
+++ b/src/decide/residency.cpp
@@ -90,15 +90,16 @@
   this->grants_known = true;
   this->grants.clear();
   this->grant_serials.clear();
-  for (const grant& item : record.grants) {
-    this->grants.emplace(item.model, item.bytes);
-    this->grant_serials.emplace(item.model, item.serial);
+  for (const grant& granted : record.grants) {
+    this->grants.emplace(granted.model, granted.bytes);
+    this->grant_serials.emplace(granted.model, granted.serial);
   }
   // A given-up grant stays unusable until it is no longer in the row or has a
   // later serial: the home may act on the acknowledgement at any time.
-  std::erase_if(this->given_up_serials, [this](const auto& given) {
-    const auto shown = this->grant_serials.find(given.first);
-    return shown == this->grant_serials.end() || shown->second != given.second;
+  std::erase_if(this->given_up_serials, [this](const auto& given_up) {
+    const auto in_row = this->grant_serials.find(given_up.first);
+    return in_row == this->grant_serials.end() ||
+           in_row->second != given_up.second;
   });
   for (const auto& [model, serial] : this->given_up_serials) {
     this->grants.erase(model);
@@ -112,35 +113,36 @@
 }
 
 residency_load_outcome residency::on_load_request(
-    const residency_load_request& wake, time_point now) {
+    const residency_load_request& request, time_point now) {
   if (this->draining || this->superseded) return {result_code::draining};
   if (!this->engine_responding) return {result_code::engine_down};
-  if (!this->grants_known || !this->is_granted(wake.model)) {
+  if (!this->grants_known || !this->is_granted(request.model)) {
     this->request_grants_read();
     return {result_code::no_grant};
   }
-  const std::uint64_t granted_bytes = this->grants.at(wake.model);
-  const std::uint64_t bytes = granted_bytes > 0 ? granted_bytes : wake.bytes;
-  const residency_holding* held = this->find(wake.model);
+  const std::uint64_t granted_bytes = this->grants.at(request.model);
+  const std::uint64_t bytes = granted_bytes > 0 ? granted_bytes : request.bytes;
+  const residency_holding* held = this->find(request.model);
   const bool cold = held == nullptr || held->state == replica_state::cold;
   const std::string adapter =
-      wake.adapter.empty() ? ""
-                           : model_ref{wake.model, wake.adapter}.to_string();
+      request.adapter.empty()
+          ? ""
+          : model_ref{request.model, request.adapter}.to_string();
   const bool adapter_cold =
       !adapter.empty() && !this->memory.has_reservation(adapter);
   const std::uint64_t needed =
-      (cold ? bytes : 0) + (adapter_cold ? wake.adapter_bytes : 0);
-  if (needed > 0 && !this->fits_after_evictions(wake.model, needed, now)) {
+      (cold ? bytes : 0) + (adapter_cold ? request.adapter_bytes : 0);
+  if (needed > 0 && !this->fits_after_evictions(request.model, needed, now)) {
     return {result_code::no_memory};
   }
-  this->request_load(wake.model, bytes, wake.keep_warm, now);
+  this->request_load(request.model, bytes, request.keep_warm, now);
   if (!adapter.empty()) {
-    this->request_load(adapter, wake.adapter_bytes, wake.keep_warm, now);
+    this->request_load(adapter, request.adapter_bytes, request.keep_warm, now);
   }
-  const auto ready =
-      this->ready_in(adapter.empty() ? wake.model : adapter, now);
+  const auto time_to_ready =
+      this->ready_in(adapter.empty() ? request.model : adapter, now);
   this->start_next_engine_call(now);
-  return {result_code::ok, ready};
+  return {result_code::ok, time_to_ready};
 }
 
 void residency::on_retire(const std::string& model, time_point now) {
@@ -191,8 +193,9 @@
 void residency::on_attempt_began(const std::string& model,
                                  const std::string& adapter, time_point now) {
   this->begin_use(model, now);
-  if (!adapter.empty())
+  if (!adapter.empty()) {
     this->begin_use(model_ref{model, adapter}.to_string(), now);
+  }
 }
 
 void residency::on_attempt_ended(const std::string& model,
@@ -264,8 +267,8 @@
   // The response was lost and the state shows no effect of the order, which may
   // still be in transit. Its memory stays reserved until the maximum delivery
   // time has passed.
-  const time_point since = *this->outstanding->unknown_since;
-  if (now - since < this->settings.max_order_delivery) return;
+  const time_point unknown_since = *this->outstanding->unknown_since;
+  if (now - unknown_since < this->settings.max_order_delivery) return;
   this->finish_order(false, now);
 }
 
@@ -284,10 +287,10 @@
 }
 
 void residency::adopt_engine_state(const engine_state& state, time_point now) {
-  memory_ledger next(state.capacity_bytes);
+  memory_ledger new_ledger(state.capacity_bytes);
   for (const engine_model& model : state.models) {
-    const auto known = this->memory.bytes_of(model.name);
-    next.set_reservation(model.name, std::max(model.bytes, known));
+    const auto reserved = this->memory.bytes_of(model.name);
+    new_ledger.set_reservation(model.name, std::max(model.bytes, reserved));
     const bool is_new = !this->holdings.contains(model.name);
     residency_holding& held = this->holdings[model.name];
     if (is_new || held.state != replica_state_of(model.state)) {
@@ -295,7 +298,7 @@
     }
     if (is_new) held.keep_warm = this->settings.default_keep_warm;
     if (is_new) held.last_used = now;
-    held.bytes = next.bytes_of(model.name);
+    held.bytes = new_ledger.bytes_of(model.name);
     held.state = replica_state_of(model.state);
     // An unload of unknown outcome may still arrive and would abort attempts
     // admitted meanwhile, so none are admitted until the outcome is known.
@@ -306,19 +309,20 @@
   if (this->outstanding) {
     const std::string& name = this->outstanding->order.model;
     const auto reserved = this->memory.bytes_of(name);
-    if (reserved > 0 && !next.has_reservation(name))
-      next.set_reservation(name, reserved);
+    if (reserved > 0 && !new_ledger.has_reservation(name)) {
+      new_ledger.set_reservation(name, reserved);
+    }
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (auto& [name, held] : this->holdings) {
-    if (next.has_reservation(name)) continue;
+    if (new_ledger.has_reservation(name)) continue;
     if (held.state == replica_state::cold) continue;
     held.state = replica_state::cold;
     this->actions.emplace_back(notify_model_changed{base_of(name)});
-    gone.push_back(name);
+    removed.push_back(name);
   }
-  this->memory = std::move(next);
-  for (const auto& name : gone) this->forget_if_unused(name);
+  this->memory = std::move(new_ledger);
+  for (const auto& name : removed) this->forget_if_unused(name);
 }
 
 bool residency::is_unload_pending(const std::string& name) const {
@@ -328,26 +332,27 @@
 }
 
 void residency::finish_order(bool done, time_point now) {
-  const outstanding_order past = *this->outstanding;
+  const outstanding_order finished = *this->outstanding;
   this->outstanding.reset();
-  if (past.order.model == fence_probe_name) {
-    this->engine_fenced = !past.unknown_since.has_value() &&
+  if (finished.order.model == fence_probe_name) {
+    this->engine_fenced = !finished.unknown_since.has_value() &&
                           !this->superseded && this->engine_responding;
     this->next_state_read = now;
     return;
   }
-  if (past.order.kind == order_kind::load) {
-    if (done && !past.unknown_since) {
+  if (finished.order.kind == order_kind::load) {
+    if (done && !finished.unknown_since) {
       const auto took =
-          std::chrono::duration_cast<milliseconds>(now - past.sent_at);
-      this->load_time.add_sample(this->tier_of(past.order.model),
-                                 past.order.bytes, took);
+          std::chrono::duration_cast<milliseconds>(now - finished.sent_at);
+      this->load_time.add_sample(this->tier_of(finished.order.model),
+                                 finished.order.bytes, took);
     }
-    this->finish_load(past.order, done, now);
+    this->finish_load(finished.order, done, now);
   } else {
-    this->finish_unload(past.order, done, now);
+    this->finish_unload(finished.order, done, now);
   }
-  this->actions.emplace_back(notify_model_changed{base_of(past.order.model)});
+  this->actions.emplace_back(
+      notify_model_changed{base_of(finished.order.model)});
 }
 
 void residency::finish_load(const engine_order& order, bool done,
@@ -380,17 +385,18 @@
 }
 
 void residency::give_up_retired_grants(time_point now) {
-  std::vector<std::string> done;
+  std::vector<std::string> unloaded;
   for (const auto& [name, held] : this->holdings) {
     if (!held.retiring || held.state != replica_state::cold) continue;
-    if (held.running_attempts > 0 || this->memory.has_reservation(name))
+    if (held.running_attempts > 0 || this->memory.has_reservation(name)) {
       continue;
+    }
     if (!this->adapters_of(name).empty()) continue;
-    done.push_back(name);
+    unloaded.push_back(name);
   }
   if (this->outstanding || !this->may_order(now)) return;
   if (!this->old_orders_expired(now)) return;
-  for (const auto& name : done) this->give_up_grant(name, now);
+  for (const auto& name : unloaded) this->give_up_grant(name, now);
 }
 
 void residency::give_up_grant(const std::string& model, time_point now) {
@@ -403,9 +409,9 @@
 }
 
 void residency::request_load(const std::string& name, std::uint64_t bytes,
-                             milliseconds keep, time_point now) {
+                             milliseconds keep_warm, time_point now) {
   residency_holding& held = this->holdings[name];
-  held.keep_warm = keep;
+  held.keep_warm = keep_warm;
   held.retiring = false;
   held.last_used = now;
   if (held.state == replica_state::ready) {
@@ -429,8 +435,9 @@
 
 void residency::end_use(const std::string& name, time_point now) {
   const auto found = this->holdings.find(name);
-  if (found == this->holdings.end() || found->second.running_attempts == 0)
+  if (found == this->holdings.end() || found->second.running_attempts == 0) {
     return;
+  }
   --found->second.running_attempts;
   found->second.last_used = now;
   this->forget_if_unused(name);
--- a/src/decide/residency.hpp
+++ b/src/decide/residency.hpp
@@ -46,7 +46,7 @@
 class residency {
  public:
   /// \param settings Intervals and limits.
-  /// \param started When this agent process started.
+  /// \param started_at When this agent process started.
   residency(residency_settings settings, time_point started_at);
 
   /// This agent's fencing number was written to the table.
@@ -70,7 +70,7 @@
   void on_grants_hint(time_point now);
 
   /// Handles a home's request to load a model on demand.
-  residency_load_outcome on_load_request(const residency_load_request& wake,
+  residency_load_outcome on_load_request(const residency_load_request& request,
                                          time_point now);
 
   /// A home wants a grant back: unloads the model and gives the grant up.
@@ -127,7 +127,7 @@
   bool engine_up() const { return this->engine_responding; }
   /// Returns whether the grants last read allow a model.
   bool is_granted(const std::string& model) const;
-  /// Returns whether the outstanding order may or may not have been executed.
+  /// Returns whether it is unknown if the outstanding order was executed.
   bool is_order_outcome_unknown() const;
   /// Returns the tier from which a checkpoint would be loaded.
   checkpoint_tier tier_of(const std::string& name) const;
@@ -163,7 +163,7 @@
   void give_up_retired_grants(time_point now);
   void give_up_grant(const std::string& model, time_point now);
   void request_load(const std::string& name, std::uint64_t bytes,
-                    milliseconds keep, time_point now);
+                    milliseconds keep_warm, time_point now);
   void begin_use(const std::string& name, time_point now);
   void end_use(const std::string& name, time_point now);
   void forget_if_unused(const std::string& name);
@@ -215,8 +215,9 @@
   time_point next_grants_read{};
   time_point last_give_up_at = time_point::min();
   std::map<std::string, std::uint64_t> grants;
-  /// Serials of the grants last read; below, of the grants given up since.
+  /// Serials of the grants last read.
   std::map<std::string, std::uint64_t> grant_serials;
+  /// Serials of given-up grants that the row may still contain.
   std::map<std::string, std::uint64_t> given_up_serials;
   std::map<std::string, residency_holding> holdings;
   memory_ledger memory;
--- a/src/decide/residency_orders.cpp
+++ b/src/decide/residency_orders.cpp
@@ -18,8 +18,9 @@
 }
 
 bool residency::may_order(time_point now) const {
-  if (this->superseded || !this->engine_responding || !this->state_known)
+  if (this->superseded || !this->engine_responding || !this->state_known) {
     return false;
+  }
   if (this->fence == 0 || !this->grants_known) return false;
   return this->settings.engine_checks_fence || this->old_orders_expired(now);
 }
@@ -44,10 +45,10 @@
     if (is_adapter(name) || !held.is_idle()) continue;
     const bool has_grant = this->is_granted(name);
     if (has_grant && !held.retiring) continue;
-    const std::string step = this->first_to_unload(name);
-    if (step.empty()) continue;
+    const std::string to_unload = this->first_to_unload(name);
+    if (to_unload.empty()) continue;
     return next_order{
-        order_kind::unload, step,
+        order_kind::unload, to_unload,
         has_grant ? order_reason::retired : order_reason::not_granted};
   }
   return std::nullopt;
@@ -77,12 +78,12 @@
     return next_order{order_kind::load, name, order_reason::on_demand};
   }
   if (now < this->unload_not_before) return std::nullopt;
-  const auto victim =
+  const auto candidate =
       choose_eviction(this->eviction_candidates(base, now), bytes - free, now);
-  if (!victim) return std::nullopt;
-  const std::string step = this->first_to_unload(*victim);
-  if (step.empty()) return std::nullopt;
-  return next_order{order_kind::unload, step, order_reason::evicted};
+  if (!candidate) return std::nullopt;
+  const std::string to_unload = this->first_to_unload(*candidate);
+  if (to_unload.empty()) return std::nullopt;
+  return next_order{order_kind::unload, to_unload, order_reason::evicted};
 }
 
 std::optional<residency::next_order> residency::choose_idle_unload(
@@ -92,9 +93,9 @@
     if (now < held.protected_until) continue;
     if (!is_past_keep_warm(held.keep_warm, held.last_used, now)) continue;
     if (!is_adapter(name) && !this->may_evict_base(name, now)) continue;
-    const std::string step = this->first_to_unload(name);
-    if (step.empty()) continue;
-    return next_order{order_kind::unload, step,
+    const std::string to_unload = this->first_to_unload(name);
+    if (to_unload.empty()) continue;
+    return next_order{order_kind::unload, to_unload,
                       order_reason::keep_warm_expired};
   }
   return std::nullopt;
@@ -103,8 +104,10 @@
 std::vector<std::string> residency::wanted_loads(time_point now) const {
   std::vector<std::string> names;
   for (const auto& [name, held] : this->holdings) {
-    if (held.state != replica_state::cold || this->memory.has_reservation(name))
+    if (held.state != replica_state::cold ||
+        this->memory.has_reservation(name)) {
       continue;
+    }
     if (held.is_wanted(now)) names.push_back(name);
   }
   std::stable_sort(names.begin(), names.end(),
@@ -117,10 +120,10 @@
 
 std::vector<eviction_candidate> residency::eviction_candidates(
     const std::string& target, time_point now) const {
-  std::vector<eviction_candidate> list;
+  std::vector<eviction_candidate> candidates;
   const auto add = [&](const std::string& name, std::uint64_t bytes) {
     const residency_holding& held = *this->find(name);
-    list.push_back(
+    candidates.push_back(
         {.name = name,
          .bytes = bytes,
          .last_used = held.last_used,
@@ -130,26 +133,31 @@
   for (const auto& [name, held] : this->holdings) {
     if (!held.is_idle() || now < held.protected_until) continue;
     const std::string base = base_of(name);
-    const bool whole = base != target && this->may_evict_base(base, now);
-    if (!is_adapter(name) && whole) add(name, this->bytes_with_adapters(name));
+    const bool may_evict_whole =
+        base != target && this->may_evict_base(base, now);
+    if (!is_adapter(name) && may_evict_whole) {
+      add(name, this->bytes_with_adapters(name));
+    }
     // An idle adapter can be evicted without its base.
-    if (is_adapter(name) && !whole) add(name, held.bytes);
+    if (is_adapter(name) && !may_evict_whole) add(name, held.bytes);
   }
-  return list;
+  return candidates;
 }
 
 bool residency::may_evict_base(const std::string& base, time_point now) const {
   const residency_holding* held = this->find(base);
-  if (held == nullptr || !held->is_idle() || now < held->protected_until)
+  if (held == nullptr || !held->is_idle() || now < held->protected_until) {
     return false;
+  }
   const auto first = this->holdings.lower_bound(base + ":");
   for (auto it = first; it != this->holdings.end(); ++it) {
     if (base_of(it->first) != base) break;
     const residency_holding& adapter = it->second;
     if (adapter.is_wanted(now) || adapter.running_attempts > 0) return false;
     if (now < adapter.protected_until) return false;
-    if (this->memory.has_reservation(it->first) && !adapter.is_idle())
+    if (this->memory.has_reservation(it->first) && !adapter.is_idle()) {
       return false;
+    }
   }
   return true;
 }
--- a/src/decide/residency_report.cpp
+++ b/src/decide/residency_report.cpp
@@ -28,8 +28,8 @@
     report.state = held->state;
     // Reported as unloading so that homes send no more requests to a replica
     // that loses its grant.
-    const bool leaves = held->retiring || !this->is_granted(base);
-    if (leaves && held->state == replica_state::ready) {
+    const bool loses_grant = held->retiring || !this->is_granted(base);
+    if (loses_grant && held->state == replica_state::ready) {
       report.state = replica_state::unloading;
     }
     report.running = held->running_attempts;
@@ -51,8 +51,9 @@
 
 std::uint64_t residency::evictable_bytes(time_point now) const {
   std::uint64_t bytes = 0;
-  for (const auto& victim : this->eviction_candidates({}, now))
-    bytes += victim.bytes;
+  for (const auto& candidate : this->eviction_candidates({}, now)) {
+    bytes += candidate.bytes;
+  }
   return bytes;
 }
 
@@ -73,19 +74,20 @@
 bool residency::fits_after_evictions(const std::string& base,
                                      std::uint64_t bytes,
                                      time_point now) const {
-  std::uint64_t room = this->memory.free();
-  for (const auto& victim : this->eviction_candidates(base, now))
-    room += victim.bytes;
+  std::uint64_t available = this->memory.free();
+  for (const auto& candidate : this->eviction_candidates(base, now)) {
+    available += candidate.bytes;
+  }
   if (this->outstanding &&
       this->outstanding->order.kind == order_kind::unload) {
-    room += this->memory.bytes_of(this->outstanding->order.model);
+    available += this->memory.bytes_of(this->outstanding->order.model);
   }
-  std::uint64_t ahead = 0;
+  std::uint64_t wanted_bytes = 0;
   for (const auto& name : this->wanted_loads(now)) {
     if (base_of(name) == base) continue;
-    ahead += this->find(name)->bytes;
+    wanted_bytes += this->find(name)->bytes;
   }
-  return bytes + ahead <= room;
+  return bytes + wanted_bytes <= available;
 }
 
 milliseconds residency::ready_in(const std::string& name,
@@ -97,17 +99,17 @@
   milliseconds wait{0};
   if (this->outstanding && this->outstanding->order.kind == order_kind::load) {
     const engine_order& order = this->outstanding->order;
-    const auto whole =
+    const auto expected =
         this->load_time.expected(this->tier_of(order.model), order.bytes);
-    const auto past = std::chrono::duration_cast<milliseconds>(
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(
         now - this->outstanding->sent_at);
-    wait += std::max(whole - past, milliseconds(0));
+    wait += std::max(expected - elapsed, milliseconds(0));
     if (order.model == name) return wait;
   }
-  for (const auto& ahead : this->wanted_loads(now)) {
-    wait += this->load_time.expected(this->tier_of(ahead),
-                                     this->find(ahead)->bytes);
-    if (ahead == name) break;
+  for (const auto& wanted : this->wanted_loads(now)) {
+    wait += this->load_time.expected(this->tier_of(wanted),
+                                     this->find(wanted)->bytes);
+    if (wanted == name) break;
   }
   return wait;
 }
--- a/src/decide/revision_view.cpp
+++ b/src/decide/revision_view.cpp
@@ -17,29 +17,31 @@
   return true;
 }
 
-bool revision_view::on_table_read(std::uint64_t revision, time_point began) {
+bool revision_view::on_table_read(std::uint64_t revision, time_point sent_at) {
   if (!this->has_catalog || revision > this->revision_in_force) return true;
-  this->confirm(began);
+  this->confirm(sent_at);
   return false;
 }
 
 bool revision_view::on_peer_response(const std::string& peer,
-                                     const peer_revision& answer,
-                                     time_point began) {
-  this->record_peer_state(peer, {began, answer});
-  if (!this->has_catalog || answer.revision > this->revision_in_force)
+                                     const peer_revision& response,
+                                     time_point sent_at) {
+  this->record_peer_state(peer, {sent_at, response});
+  if (!this->has_catalog || response.revision > this->revision_in_force) {
     return true;
-  if (!answer.confirmed_age) return false;
-  // The peer responded after `began`, so its confirmation is no older than
-  // `began - age`. A negative age would date it after this router's heartbeat.
-  const milliseconds age = std::max(*answer.confirmed_age, milliseconds{0});
-  this->confirm(began - age);
+  }
+  if (!response.confirmed_age) return false;
+  // The peer responded after `sent_at`, so its confirmation is no older than
+  // `sent_at - age`. A negative age would date it after this router's
+  // heartbeat.
+  const milliseconds age = std::max(*response.confirmed_age, milliseconds{0});
+  this->confirm(sent_at - age);
   return false;
 }
 
 void revision_view::on_peer_unresponsive(const std::string& peer,
-                                         time_point began) {
-  this->record_peer_state(peer, {began, std::nullopt});
+                                         time_point sent_at) {
+  this->record_peer_state(peer, {sent_at, std::nullopt});
 }
 
 void revision_view::on_tick(time_point now) {
@@ -57,11 +59,13 @@
   if (this->confirmed_at && *this->confirmed_at >= needed) {
     return revision_readiness::ready;
   }
-  if (this->is_table_presumed_down(peers, now))
+  if (this->is_table_presumed_down(peers, now)) {
     return revision_readiness::ready;
-  const bool is_stale = this->confirmed_at && *this->confirmed_at >= oldest;
-  return is_stale ? revision_readiness::paused
-                  : revision_readiness::unconfirmed;
+  }
+  const bool predates_pause =
+      this->confirmed_at && *this->confirmed_at >= oldest;
+  return predates_pause ? revision_readiness::paused
+                        : revision_readiness::unconfirmed;
 }
 
 std::uint64_t revision_view::revision() const {
@@ -83,40 +87,40 @@
 }
 
 void revision_view::record_peer_state(const std::string& peer,
-                                      const peer_state& seen) {
+                                      const peer_state& latest) {
   peer_state& known = this->peer_states[peer];
-  if (known.asked_at <= seen.asked_at) known = seen;
+  if (known.asked_at <= latest.asked_at) known = latest;
 }
 
 bool revision_view::is_table_presumed_down(
     const std::vector<std::string>& peers, time_point now) const {
   std::size_t asked = 0;
-  std::size_t asked_lately = 0;
-  std::size_t alike = 0;
+  std::size_t asked_recently = 0;
+  std::size_t also_unconfirmed = 0;
   for (const std::string& peer : peers) {
     const peer_state* known = this->recent_state(peer, now);
     if (known == nullptr) continue;
     asked += 1;
-    const auto ago = now - known->asked_at;
-    if (ago <= this->settings.peer_query_window) asked_lately += 1;
+    const auto elapsed = now - known->asked_at;
+    if (elapsed <= this->settings.peer_query_window) asked_recently += 1;
     if (!known->response) continue;
     if (!this->is_also_unconfirmed(*known, now)) return false;
-    alike += 1;
+    also_unconfirmed += 1;
   }
-  const auto enough = std::min(peers.size(), this->settings.min_peers_asked);
-  if (asked_lately < enough) return false;
+  const auto required = std::min(peers.size(), this->settings.min_peers_asked);
+  if (asked_recently < required) return false;
   const double needed =
       this->settings.min_response_share * static_cast<double>(asked);
-  return static_cast<double>(alike) >= needed;
+  return static_cast<double>(also_unconfirmed) >= needed;
 }
 
 const revision_view::peer_state* revision_view::recent_state(
     const std::string& peer, time_point now) const {
   const auto found = this->peer_states.find(peer);
   if (found == this->peer_states.end()) return nullptr;
-  const time_point began = found->second.asked_at;
-  if (began < this->valid_from) return nullptr;
-  if (now - began > this->settings.peer_response_window) return nullptr;
+  const time_point sent_at = found->second.asked_at;
+  if (sent_at < this->valid_from) return nullptr;
+  if (now - sent_at > this->settings.peer_response_window) return nullptr;
   return &found->second;
 }
 
@@ -124,13 +128,13 @@
 /// recent confirmation of its own.
 bool revision_view::is_also_unconfirmed(const peer_state& known,
                                         time_point now) const {
-  const peer_revision& answer = *known.response;
-  if (answer.revision > this->revision_in_force) return false;
-  if (!answer.confirmed_age) return true;
+  const peer_revision& response = *known.response;
+  if (response.revision > this->revision_in_force) return false;
+  if (!response.confirmed_age) return true;
   // The age has grown since the response. Without adding that time, all routers
   // would become unready for one heartbeat interval when their last
   // confirmations before an outage of the table expire together.
-  const auto age = *answer.confirmed_age + (now - known.asked_at);
+  const auto age = *response.confirmed_age + (now - known.asked_at);
   return age > this->settings.max_confirmation_age;
 }
 
--- a/src/decide/revision_view.hpp
+++ b/src/decide/revision_view.hpp
@@ -35,24 +35,24 @@
   /// arguments.
   ///
   /// \param revision The revision in the row.
-  /// \param began When the read was sent.
+  /// \param sent_at When the read was sent.
   /// \return True if the row is newer and its profiles must be read and
-  /// applied.
-  bool on_table_read(std::uint64_t revision, time_point began);
+  ///   applied.
+  bool on_table_read(std::uint64_t revision, time_point sent_at);
 
   /// Records a peer's response to a heartbeat of this router. Heartbeats that a
   /// peer sends must not be passed here, as their time in transit is unknown.
   ///
-  /// \param began When this router sent the heartbeat.
+  /// \param sent_at When this router sent the heartbeat.
   /// \return True if the peer's revision is newer and its catalog must be
   ///   fetched.
-  bool on_peer_response(const std::string& peer, const peer_revision& answer,
-                        time_point began);
+  bool on_peer_response(const std::string& peer, const peer_revision& response,
+                        time_point sent_at);
 
   /// Records that a peer did not respond to a heartbeat.
   ///
-  /// \param began When this router sent the heartbeat.
-  void on_peer_unresponsive(const std::string& peer, time_point began);
+  /// \param sent_at When this router sent the heartbeat.
+  void on_peer_unresponsive(const std::string& peer, time_point sent_at);
 
   /// Records that the process is running; call it at a short, regular interval.
   /// A gap between calls is taken as a pause of the process.
@@ -88,7 +88,7 @@
   void confirm(time_point at);
   bool is_table_presumed_down(const std::vector<std::string>& peers,
                               time_point now) const;
-  void record_peer_state(const std::string& peer, const peer_state& seen);
+  void record_peer_state(const std::string& peer, const peer_state& latest);
   const peer_state* recent_state(const std::string& peer, time_point now) const;
   bool is_also_unconfirmed(const peer_state& known, time_point now) const;
 
--- a/test/decide-test/catalog_test.cpp
+++ b/test/decide-test/catalog_test.cpp
@@ -20,13 +20,13 @@
                 .services = {"reports"},
                 .models = {{.name = "m", .bytes = 12, .warm = 1}}}});
 
-TEST(catalog_test, finds_the_profile_that_a_service_picked) {
+TEST(catalog_test, finds_the_profile_of_a_service) {
   ASSERT_NE(published.profile_of("reports"), nullptr);
   EXPECT_EQ(published.profile_of("reports")->name, "b");
   EXPECT_EQ(published.profile_of("nobody"), nullptr);
 }
 
-TEST(catalog_test, asks_for_a_model_what_the_most_demanding_profile_asks) {
+TEST(catalog_test, combines_the_highest_requirements_of_all_profiles) {
   const auto* spec = published.spec_of("m");
   ASSERT_NE(spec, nullptr);
   EXPECT_EQ(spec->bytes, 12u);
@@ -37,7 +37,7 @@
   EXPECT_EQ(published.spec_of("other"), nullptr);
 }
 
-TEST(catalog_test, allows_only_what_the_profile_names) {
+TEST(catalog_test, allows_only_what_the_profile_lists) {
   const auto& owner = *published.profile_of("orders");
   EXPECT_TRUE(allows_model(owner, "m", ""));
   EXPECT_TRUE(allows_model(owner, "m", "x"));
@@ -47,7 +47,7 @@
   EXPECT_FALSE(allows_pool(owner, "other"));
 }
 
-TEST(catalog_test, knows_the_calls_that_may_run_once_only) {
+TEST(catalog_test, recognizes_non_idempotent_calls) {
   const auto& owner = *published.profile_of("orders");
   EXPECT_TRUE(is_non_idempotent(owner, "POST", "/orders/7"));
   EXPECT_FALSE(is_non_idempotent(owner, "GET", "/orders/7"));
--- a/test/decide-test/memory_ledger_test.cpp
+++ b/test/decide-test/memory_ledger_test.cpp
@@ -5,7 +5,7 @@
 namespace boragehill::decide {
 namespace {
 
-TEST(memory_ledger_test, refuses_what_does_not_fit) {
+TEST(memory_ledger_test, rejects_a_reservation_beyond_the_capacity) {
   memory_ledger ledger(100);
   EXPECT_TRUE(ledger.reserve("a", 60));
   EXPECT_FALSE(ledger.reserve("b", 41));
@@ -13,14 +13,14 @@
   EXPECT_EQ(ledger.free(), 0U);
 }
 
-TEST(memory_ledger_test, refuses_to_reserve_a_name_twice) {
+TEST(memory_ledger_test, rejects_a_second_reservation_of_a_name) {
   memory_ledger ledger(100);
   EXPECT_TRUE(ledger.reserve("a", 10));
   EXPECT_FALSE(ledger.reserve("a", 10));
   EXPECT_EQ(ledger.reserved(), 10U);
 }
 
-TEST(memory_ledger_test, releases_once_however_often_it_is_told) {
+TEST(memory_ledger_test, ignores_a_repeated_release) {
   memory_ledger ledger(100);
   ledger.reserve("a", 10);
   ledger.reserve("b", 20);
@@ -29,7 +29,8 @@
   EXPECT_EQ(ledger.reserved(), 20U);
 }
 
-TEST(memory_ledger_test, has_nothing_free_when_an_engine_holds_too_much) {
+TEST(memory_ledger_test,
+     has_no_free_memory_when_an_engine_exceeds_the_capacity) {
   memory_ledger ledger(100);
   ledger.set_reservation("a", 120);
   EXPECT_EQ(ledger.free(), 0U);
--- a/test/decide-test/residency_property_test.cpp
+++ b/test/decide-test/residency_property_test.cpp
@@ -6,33 +6,35 @@
 namespace boragehill::decide {
 namespace {
 
-constexpr milliseconds longest_delivery{1500};
+constexpr milliseconds max_order_delivery{1500};
 constexpr int steps = 1500;
 
-residency_settings settings_with(milliseconds wait_out) {
+residency_settings settings_with(milliseconds assumed_order_delivery) {
   return {.engine_checks_fence = false,
-          .max_order_delivery = wait_out,
+          .max_order_delivery = assumed_order_delivery,
           .state_poll_interval = milliseconds(300),
           .grants_poll_interval = milliseconds(2000),
           .unused_protection = milliseconds(500)};
 }
 
-residency_check_result play(std::uint32_t seed, milliseconds wait_out) {
-  residency_simulation<residency> world(
-      seed, longest_delivery, [wait_out](time_point now) {
-        return std::make_unique<residency>(settings_with(wait_out), now);
+residency_check_result run_simulation(std::uint32_t seed,
+                                      milliseconds assumed_order_delivery) {
+  residency_simulation<residency> simulation(
+      seed, max_order_delivery, [assumed_order_delivery](time_point now) {
+        return std::make_unique<residency>(
+            settings_with(assumed_order_delivery), now);
       });
-  return world.run(steps);
+  return simulation.run(steps);
 }
 
 class residency_property_test : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(residency_property_test, keeps_memory_grants_and_order_of_orders) {
-  const auto verdict = play(this->GetParam(), longest_delivery);
-  EXPECT_GT(verdict.loads, 10);
-  EXPECT_TRUE(verdict.memory);
-  EXPECT_TRUE(verdict.grants);
-  EXPECT_TRUE(verdict.orders);
+TEST_P(residency_property_test, holds_the_memory_grant_and_order_invariants) {
+  const auto result = run_simulation(this->GetParam(), max_order_delivery);
+  EXPECT_GT(result.loads, 10);
+  EXPECT_TRUE(result.memory);
+  EXPECT_TRUE(result.grants);
+  EXPECT_TRUE(result.orders);
 }
 
 INSTANTIATE_TEST_SUITE_P(seeds, residency_property_test,
@@ -47,47 +49,48 @@
   void on_grants(const server_record&, time_point, time_point) {}
   void on_grants_hint(time_point) {}
   void on_retire(const std::string& model, time_point) {
-    this->given.emplace(model, 0);
+    this->given_up_serials.emplace(model, 0);
   }
   void on_order_done(const engine_order&, std::error_code, time_point) {}
   void tick(time_point) {}
-  void on_load_request(const residency_load_request& wake, time_point) {
+  void on_load_request(const residency_load_request& request, time_point) {
     this->actions.emplace_back(
-        send_order{{.model = wake.model, .bytes = wake.bytes}});
+        send_order{{.model = request.model, .bytes = request.bytes}});
   }
   std::vector<residency_action> take_actions() {
     return std::exchange(this->actions, {});
   }
   const std::map<std::string, std::uint64_t>& given_up() const {
-    return this->given;
+    return this->given_up_serials;
   }
   const memory_ledger& ledger() const { return this->memory; }
 
  private:
-  std::map<std::string, std::uint64_t> given;
+  std::map<std::string, std::uint64_t> given_up_serials;
   std::vector<residency_action> actions;
   memory_ledger memory{100};
 };
 
-TEST(residency_checker_test, each_one_fires_on_a_hasty_decision) {
-  residency_simulation<unchecked_residency> world(
-      1, longest_delivery,
+TEST(residency_checker_test, every_checker_fails_without_checks_in_the_agent) {
+  residency_simulation<unchecked_residency> simulation(
+      1, max_order_delivery,
       [](time_point) { return std::make_unique<unchecked_residency>(); });
-  const auto verdict = world.run(steps);
-  EXPECT_FALSE(verdict.memory);
-  EXPECT_FALSE(verdict.grants);
-  EXPECT_FALSE(verdict.orders);
+  const auto result = simulation.run(steps);
+  EXPECT_FALSE(result.memory);
+  EXPECT_FALSE(result.grants);
+  EXPECT_FALSE(result.orders);
 }
 
 // An agent restarts while a load of its earlier process is in transit, and does
 // not wait for the maximum delivery time. The old load then arrives on top of
 // its own loads and overcommits the memory, which the checker must detect.
-TEST(residency_checker_test, memory_fires_when_old_orders_are_not_waited_out) {
-  bool fired = false;
-  for (std::uint32_t seed = 1; seed <= 100 && !fired; ++seed) {
-    fired = !play(seed, milliseconds(0)).memory;
+TEST(residency_checker_test,
+     memory_checker_fails_when_old_orders_are_not_awaited) {
+  bool is_detected = false;
+  for (std::uint32_t seed = 1; seed <= 100 && !is_detected; ++seed) {
+    is_detected = !run_simulation(seed, milliseconds(0)).memory;
   }
-  EXPECT_TRUE(fired);
+  EXPECT_TRUE(is_detected);
 }
 
 }  // namespace
--- a/test/decide-test/revision_view_test.cpp
+++ b/test/decide-test/revision_view_test.cpp
@@ -29,24 +29,24 @@
   }
 
   revision_readiness readiness(const names& peers, int ms) {
-    for (; this->ticked < ms; this->ticked += 1000) {
-      this->view.on_tick(at(this->ticked));
+    for (; this->ticked_ms < ms; this->ticked_ms += 1000) {
+      this->view.on_tick(at(this->ticked_ms));
     }
     return this->view.readiness(peers, at(ms));
   }
 
   revision_view view{{}, start};
-  int ticked = 0;
+  int ticked_ms = 0;
 };
 
-TEST_F(revision_view_test, is_unready_once_the_confirmation_is_old) {
+TEST_F(revision_view_test, is_unready_after_the_confirmation_expires) {
   EXPECT_EQ(this->readiness({"r2"}, 10000), revision_readiness::ready);
   EXPECT_EQ(this->readiness({"r2"}, 10001), revision_readiness::unconfirmed);
   EXPECT_FALSE(this->view.on_table_read(5, at(10000)));
   EXPECT_EQ(this->readiness({"r2"}, 10001), revision_readiness::ready);
 }
 
-TEST_F(revision_view_test, takes_the_confirmation_of_a_peer_with_its_age) {
+TEST_F(revision_view_test, accepts_a_peers_confirmation_with_its_age) {
   this->view.on_peer_response("r2", {5, milliseconds{4000}}, at(9000));
   EXPECT_EQ(this->view.confirmed_age(at(9000)), milliseconds{4000});
   EXPECT_EQ(this->readiness({"r2"}, 15000), revision_readiness::ready);
@@ -63,7 +63,7 @@
   EXPECT_EQ(this->readiness({"r2"}, 10001), revision_readiness::ready);
 }
 
-TEST_F(revision_view_test, stays_ready_when_no_router_reaches_the_table) {
+TEST_F(revision_view_test, stays_ready_while_no_router_reaches_the_table) {
   // During an hour's outage of the table every router's last confirmation
   // expires. No new revision can be published then, so the routers must keep
   // serving.
@@ -80,7 +80,8 @@
             revision_readiness::unconfirmed);
 }
 
-TEST_F(revision_view_test, is_unready_when_a_peer_may_reach_the_table) {
+TEST_F(revision_view_test,
+       is_unready_when_an_unresponsive_peer_may_reach_the_table) {
   // This router cannot reach the table or r3, while an operator publishes
   // through r3, which can. Callers here would get the replaced profile.
   this->view.on_peer_response("r2", {5, std::nullopt}, at(11000));
@@ -91,13 +92,14 @@
   EXPECT_EQ(this->readiness({}, 14001), revision_readiness::ready);
 }
 
-TEST_F(revision_view_test, is_unready_when_cut_off_with_half_of_the_fleet) {
+TEST_F(revision_view_test,
+       is_unready_when_partitioned_off_with_half_of_the_fleet) {
   // A network partition separates two regions, and this one from the table.
   // Operators publish in the other, and callers here would get the replaced
   // profile.
   const names peers{"r2", "r3", "r4", "r5", "r6"};
-  for (const char* near : {"r2", "r3", "r4"}) {
-    this->view.on_peer_response(near, {5, std::nullopt}, at(11000));
+  for (const char* reachable : {"r2", "r3", "r4"}) {
+    this->view.on_peer_response(reachable, {5, std::nullopt}, at(11000));
   }
   EXPECT_EQ(this->readiness(peers, 11000), revision_readiness::ready);
   this->view.on_peer_unresponsive("r5", at(11000));
@@ -106,7 +108,7 @@
   EXPECT_EQ(this->readiness(peers, 11000), revision_readiness::unconfirmed);
 }
 
-TEST_F(revision_view_test, confirms_again_after_a_pause) {
+TEST_F(revision_view_test, requires_a_new_confirmation_after_a_pause) {
   // A router VM is paused for a minute while an operator publishes. When it
   // resumes, its sockets hold requests and a table response from before the
   // pause; it must not admit these requests under the old profile.
@@ -121,37 +123,39 @@
   EXPECT_EQ(this->view.readiness({"r2"}, at(4060)), revision_readiness::ready);
 }
 
-TEST_F(revision_view_test, trusts_no_peers_word_from_before_a_pause) {
+TEST_F(revision_view_test, ignores_peer_responses_from_before_a_pause) {
   // As above, but the peers could not reach the table before the pause either.
   // It may have come back since, so their earlier responses do not show that
   // the revision is unchanged.
-  revision_view frozen({.pause_threshold = milliseconds{1000}}, start);
-  frozen.apply(5);
-  frozen.on_peer_response("r2", {5, std::nullopt}, at(900));
-  EXPECT_EQ(frozen.readiness({"r2"}, at(1000)), revision_readiness::ready);
-  frozen.on_tick(at(1500));
-  EXPECT_NE(frozen.readiness({"r2"}, at(1500)), revision_readiness::ready);
+  revision_view paused_view({.pause_threshold = milliseconds{1000}}, start);
+  paused_view.apply(5);
+  paused_view.on_peer_response("r2", {5, std::nullopt}, at(900));
+  EXPECT_EQ(paused_view.readiness({"r2"}, at(1000)), revision_readiness::ready);
+  paused_view.on_tick(at(1500));
+  EXPECT_NE(paused_view.readiness({"r2"}, at(1500)), revision_readiness::ready);
 }
 
 TEST_F(revision_view_test, admits_nothing_without_a_catalog) {
-  const revision_view fresh({}, start);
-  EXPECT_EQ(fresh.readiness({}, start), revision_readiness::no_catalog);
-  EXPECT_EQ(fresh.confirmed_age(start), std::nullopt);
+  const revision_view without_catalog({}, start);
+  EXPECT_EQ(without_catalog.readiness({}, start),
+            revision_readiness::no_catalog);
+  EXPECT_EQ(without_catalog.confirmed_age(start), std::nullopt);
 }
 
-TEST_F(revision_view_test, never_goes_back_whatever_arrives_late) {
+TEST_F(revision_view_test, never_returns_to_an_older_revision) {
   for (unsigned seed = 0; seed < 100; ++seed) {
     std::mt19937 random(seed);
-    revision_view late({}, start);
+    revision_view random_view({}, start);
     std::vector<std::uint64_t> in_force;
     for (int i = 0; i < 100; ++i) {
       const std::uint64_t revision = random() % 50;
-      const time_point began = at(static_cast<int>(random() % 9000));
-      const bool newer = random() % 2 == 0
-                             ? late.on_table_read(revision, began)
-                             : late.on_peer_response("r2", {revision}, began);
-      if (newer || random() % 4 == 0) late.apply(revision);
-      in_force.push_back(late.revision());
+      const time_point sent_at = at(static_cast<int>(random() % 9000));
+      const bool newer =
+          random() % 2 == 0
+              ? random_view.on_table_read(revision, sent_at)
+              : random_view.on_peer_response("r2", {revision}, sent_at);
+      if (newer || random() % 4 == 0) random_view.apply(revision);
+      in_force.push_back(random_view.revision());
     }
     ASSERT_TRUE(invariants::revisions_rise(in_force)) << "seed " << seed;
   }
