--- a/src/decide/home.cpp
+++ b/src/decide/home.cpp
@@ -9,63 +9,64 @@
 
 namespace boragehill::decide {
 
-home::home(home_settings settings, crash_attribution_settings strike_limits)
+home::home(home_settings settings, crash_attribution_settings crash_settings)
     : settings(settings),
-      implicated(strike_limits),
+      crashes(crash_settings),
       mean_load_times{running_mean(settings.initial_load_time[0]),
                       running_mean(settings.initial_load_time[1]),
                       running_mean(settings.initial_load_time[2])} {}
 
-wire::permit_answer home::request_permit(const wire::permit_request& ask,
+wire::permit_answer home::request_permit(const wire::permit_request& request,
                                          time_point now) {
-  if (const auto out = this->issued_permits.find(ask.attempt);
-      out != this->issued_permits.end()) {
-    return out->second.response;
+  if (const auto issued = this->issued_permits.find(request.attempt);
+      issued != this->issued_permits.end()) {
+    return issued->second.response;
   }
-  wire::permit_answer queued{.attempt = ask.attempt};
+  wire::permit_answer queued{.attempt = request.attempt};
   queued.state = wire::permit_state::queued;
-  if (this->target_by_attempt.contains(ask.attempt)) return queued;
+  if (this->target_by_attempt.contains(request.attempt)) return queued;
 
-  home_target& target = this->find_or_add_target(ask.target);
+  home_target& target = this->find_or_add_target(request.target);
   target.last_arrival_at = now;
   if (std::holds_alternative<quarantined>(
-          this->implicated.evaluate(ask.fingerprint, now))) {
-    return this->make_refusal(ask, result_code::request_convicted,
+          this->crashes.evaluate(request.fingerprint, now))) {
+    return this->make_refusal(request, result_code::request_convicted,
                               milliseconds{0},
                               "this request crashed backend servers before");
   }
   const bool full = this->waiting_total >= this->settings.queue_total ||
                     target.queue.size() >= this->settings.queue_per_target;
   if (full) {
-    const auto wait = this->expected_wait(ask.target, ask.adapter, now);
-    return this->make_refusal(ask, result_code::queue_full, wait,
-                              "the queue of " + ask.target + " is full");
+    const auto wait = this->expected_wait(request.target, request.adapter, now);
+    return this->make_refusal(request, result_code::queue_full, wait,
+                              "the queue of " + request.target + " is full");
   }
-  waiting_request waiting{.request = ask,
-                          .deadline = now + milliseconds(ask.time_left_ms),
+  waiting_request waiting{.request = request,
+                          .deadline = now + milliseconds(request.time_left_ms),
                           .queued_at = now,
                           .sequence = this->next_sequence++};
   target.queue.insert(waiting);
-  this->target_by_attempt[ask.attempt] = ask.target;
+  this->target_by_attempt[request.attempt] = request.target;
   ++this->waiting_total;
-  this->dispatch_queue(target, now);
+  this->dispatch(target, now);
   this->refuse_unreachable(target, now);
 
   // A decision made by the dispatch above is returned directly, which saves a
   // call to the entry router.
-  const auto own = [&](const home_action& action) {
-    const auto* told = std::get_if<notify_entry>(&action);
-    return told != nullptr && told->response.attempt == ask.attempt;
+  const auto is_own = [&](const home_action& action) {
+    const auto* notification = std::get_if<notify_entry>(&action);
+    return notification != nullptr &&
+           notification->response.attempt == request.attempt;
   };
   const auto found =
-      std::find_if(this->actions.begin(), this->actions.end(), own);
+      std::find_if(this->actions.begin(), this->actions.end(), is_own);
   if (found != this->actions.end()) {
-    wire::permit_answer answer = std::get<notify_entry>(*found).response;
+    wire::permit_answer response = std::get<notify_entry>(*found).response;
     this->actions.erase(found);
-    return answer;
+    return response;
   }
   queued.estimate_ms =
-      this->expected_wait(ask.target, ask.adapter, now).count();
+      this->expected_wait(request.target, request.adapter, now).count();
   return queued;
 }
 
@@ -86,12 +87,12 @@
   std::vector<std::string> unknown;
   for (const auto& attempt : attempts) {
     if (this->target_by_attempt.contains(attempt)) continue;
-    const auto out = this->issued_permits.find(attempt);
-    if (out == this->issued_permits.end()) {
+    const auto issued = this->issued_permits.find(attempt);
+    if (issued == this->issued_permits.end()) {
       unknown.push_back(attempt);
       continue;
     }
-    const issued_permit& permit = out->second;
+    const issued_permit& permit = issued->second;
     this->actions.emplace_back(
         notify_entry{permit.request.entry, permit.response});
   }
@@ -111,20 +112,20 @@
   this->release_permit(end.attempt);
 
   if (end.outcome == wire::attempt_outcome::answered) {
-    this->implicated.on_completed(end.fingerprint);
+    this->crashes.on_completed(end.fingerprint);
   }
   if (end.outcome == wire::attempt_outcome::crashed) {
-    // An implicated request is quarantined only for a crash while it ran alone
-    // on a server. Otherwise a harmless request that shared two servers with
-    // poison requests would be refused permanently.
+    // The first crash implicates a request; a later one counts only if the
+    // request ran alone on the server. Otherwise a harmless request that shared
+    // two servers with poison requests would be quarantined.
     const bool counts =
         exclusive || std::holds_alternative<run_normally>(
-                         this->implicated.evaluate(end.fingerprint, now));
-    std::vector<std::string> guilty;
-    if (counts) guilty = this->implicated.on_crash({end.fingerprint}, now);
+                         this->crashes.evaluate(end.fingerprint, now));
+    std::vector<std::string> quarantines;
+    if (counts) quarantines = this->crashes.on_crash({end.fingerprint}, now);
     this->add_note(target, end.attempt,
                    "in flight when " + end.server + " crashed", now);
-    for (auto& fingerprint : guilty) {
+    for (auto& fingerprint : quarantines) {
       this->add_note(target, end.attempt, "convicted: crashed it alone", now);
       this->actions.emplace_back(share_quarantine{std::move(fingerprint)});
     }
@@ -132,74 +133,72 @@
   const bool server_failed = end.outcome == wire::attempt_outcome::crashed ||
                              end.outcome == wire::attempt_outcome::lost;
   if (server_failed) this->on_suspected(end.server, now);
-  this->dispatch_queue(target, now);
+  this->dispatch(target, now);
 }
 
 void home::on_report(const wire::agent_report& report, time_point now) {
   const std::uint32_t own = this->in_flight(report.server);
-  if (!this->known_servers[report.server].apply_report(report, own, now))
-    return;
+  if (!this->known_servers[report.server].update(report, own, now)) return;
   for (const auto& replica : report.replicas) {
     const auto found = this->known_targets.find(model_target(replica.name));
     if (found == this->known_targets.end()) continue;
-    this->dispatch_queue(found->second, now);
+    this->dispatch(found->second, now);
   }
   if (report.model_server) return;
   const auto pool = this->known_targets.find(pool_target(report.pool));
-  if (pool != this->known_targets.end())
-    this->dispatch_queue(pool->second, now);
+  if (pool != this->known_targets.end()) this->dispatch(pool->second, now);
 }
 
-void home::on_load_response(const order_load& wake,
-                            const wire::wake_answer& answer, time_point now) {
+void home::on_load_response(const order_load& load,
+                            const wire::wake_answer& response, time_point now) {
   home_target& target =
-      this->find_or_add_target(model_target(wake.order.model));
-  const auto ordered = this->find_pending_load(target, wake);
-  if (ordered == target.pending_loads.end()) return;
-  if (answer.code == static_cast<int>(result_code::ok)) {
-    ordered->accepted = true;
-    ordered->expected_ready_at = now + milliseconds(answer.ready_in_ms);
+      this->find_or_add_target(model_target(load.order.model));
+  const auto pending = this->find_pending_load(target, load);
+  if (pending == target.pending_loads.end()) return;
+  if (response.code == static_cast<int>(result_code::ok)) {
+    pending->accepted = true;
+    pending->expected_ready_at = now + milliseconds(response.ready_in_ms);
     return;
   }
-  target.pending_loads.erase(ordered);
-  if (wake.from_store) {
-    this->actions.emplace_back(report_load_end{wake.server, wake.order.model});
+  target.pending_loads.erase(pending);
+  if (load.from_store) {
+    this->actions.emplace_back(report_load_end{load.server, load.order.model});
   }
-  const auto code = static_cast<result_code>(answer.code);
+  const auto code = static_cast<result_code>(response.code);
   this->add_note(
       target, {},
-      "wake refused by " + wake.server + ": " + std::string(name_of(code)),
+      "wake refused by " + load.server + ": " + std::string(name_of(code)),
       now);
-  home_server& server = this->known_servers[wake.server];
+  home_server& server = this->known_servers[load.server];
   server.set_cooldown(now + this->settings.server_cooldown);
-  this->dispatch_queue(target, now);
+  this->dispatch(target, now);
 }
 
-void home::on_load_deferred(const order_load& wake, milliseconds wait,
+void home::on_load_deferred(const order_load& load, milliseconds wait,
                             time_point now) {
   constexpr milliseconds shortest{100};
   constexpr milliseconds longest{500};
   home_target& target =
-      this->find_or_add_target(model_target(wake.order.model));
-  const auto ordered = this->find_pending_load(target, wake);
-  if (ordered == target.pending_loads.end()) return;
-  ordered->deferred = true;
-  ordered->retry_at = now + std::clamp(wait, shortest, longest);
-  ordered->expected_ready_at = now + wait + this->load_time(ordered->tier);
+      this->find_or_add_target(model_target(load.order.model));
+  const auto pending = this->find_pending_load(target, load);
+  if (pending == target.pending_loads.end()) return;
+  pending->deferred = true;
+  pending->retry_at = now + std::clamp(wait, shortest, longest);
+  pending->expected_ready_at = now + wait + this->load_time(pending->tier);
 }
 
 std::vector<pending_load>::iterator home::find_pending_load(
-    home_target& target, const order_load& wake) {
+    home_target& target, const order_load& load) {
   return std::find_if(target.pending_loads.begin(), target.pending_loads.end(),
                       [&](const pending_load& pending) {
-                        return pending.server == wake.server &&
-                               pending.adapter == wake.order.adapter;
+                        return pending.server == load.server &&
+                               pending.adapter == load.order.adapter;
                       });
 }
 
-void home::on_load_order_lost(const order_load& wake, time_point now) {
+void home::on_load_order_lost(const order_load& load, time_point now) {
   this->on_load_response(
-      wake,
+      load,
       {.code = static_cast<int>(result_code::peer_unreachable),
        .ready_in_ms = 0},
       now);
@@ -210,15 +209,15 @@
   home_target& target = this->find_or_add_target(name);
   target.servers = std::move(servers);
   target.has_server_list = true;
-  std::map<std::string, time_point> since;
+  std::map<std::string, time_point> added_at;
   for (const auto& id : target.servers) {
-    const auto before = target.server_added_at.find(id);
-    since[id] = before == target.server_added_at.end() ? now : before->second;
+    const auto previous = target.server_added_at.find(id);
+    added_at[id] =
+        previous == target.server_added_at.end() ? now : previous->second;
   }
-  target.server_added_at = std::move(since);
-  if (target.servers.size() >= target.requested_grants)
-    target.requested_grants = 0;
-  this->dispatch_queue(target, now);
+  target.server_added_at = std::move(added_at);
+  if (target.servers.size() >= target.wanted_grants) target.wanted_grants = 0;
+  this->dispatch(target, now);
 }
 
 void home::on_draining(const std::string& server) {
@@ -231,14 +230,13 @@
 }
 
 void home::on_entry_lost(const endpoint& entry, time_point now) {
-  std::vector<std::string> gone;
+  std::vector<std::string> lost;
   for (const auto& [name, target] : this->known_targets) {
-    for (const auto& waiting : target.queue) {
-      if (waiting.request.entry == entry)
-        gone.push_back(waiting.request.attempt);
+    for (const auto& queued : target.queue) {
+      if (queued.request.entry == entry) lost.push_back(queued.request.attempt);
     }
   }
-  for (const auto& attempt : gone) this->withdraw(attempt, now);
+  for (const auto& attempt : lost) this->withdraw(attempt, now);
 }
 
 void home::on_catalog(const catalog& published, time_point now) {
@@ -250,22 +248,21 @@
   for (const auto& [base, spec] : published.models()) {
     this->find_or_add_target(model_target(base)).spec = spec;
   }
-  for (auto& [name, target] : this->known_targets)
-    this->dispatch_queue(target, now);
+  for (auto& [name, target] : this->known_targets) this->dispatch(target, now);
 }
 
 void home::on_quarantine(const std::string& fingerprint, time_point now) {
-  this->implicated.quarantine(fingerprint, now);
+  this->crashes.quarantine(fingerprint, now);
 }
 
 void home::tick(time_point now) {
-  std::vector<std::string> lapsed;
+  std::vector<std::string> expired;
   for (const auto& [attempt, permit] : this->issued_permits) {
-    if (permit.expires_at <= now) lapsed.push_back(attempt);
+    if (permit.expires_at <= now) expired.push_back(attempt);
   }
-  for (const auto& attempt : lapsed) this->release_permit(attempt);
+  for (const auto& attempt : expired) this->release_permit(attempt);
   for (auto& [name, target] : this->known_targets) {
-    this->dispatch_queue(target, now);
+    this->dispatch(target, now);
     this->refuse_unreachable(target, now);
   }
 }
@@ -286,28 +283,28 @@
   return at->second;
 }
 
-wire::permit_answer home::make_refusal(const wire::permit_request& ask,
+wire::permit_answer home::make_refusal(const wire::permit_request& request,
                                        result_code code,
                                        milliseconds retry_after,
                                        const std::string& reason) {
-  wire::permit_answer answer{.attempt = ask.attempt};
-  answer.state = wire::permit_state::refused;
-  answer.code = static_cast<int>(code);
-  answer.retry_after_ms = retry_after.count();
-  answer.reason = reason;
-  return answer;
+  wire::permit_answer response{.attempt = request.attempt};
+  response.state = wire::permit_state::refused;
+  response.code = static_cast<int>(code);
+  response.retry_after_ms = retry_after.count();
+  response.reason = reason;
+  return response;
 }
 
 void home::refuse_waiting(home_target& target,
                           std::set<waiting_request, by_deadline>::iterator at,
                           result_code code, const std::string& reason,
                           time_point now) {
-  const wire::permit_request ask = at->request;
+  const wire::permit_request request = at->request;
   this->erase_waiting(target, at);
-  this->add_note(target, ask.attempt, "refused: " + reason, now);
-  const auto wait = this->expected_wait(target.name, ask.adapter, now);
-  this->actions.emplace_back(
-      notify_entry{ask.entry, this->make_refusal(ask, code, wait, reason)});
+  this->add_note(target, request.attempt, "refused: " + reason, now);
+  const auto wait = this->expected_wait(target.name, request.adapter, now);
+  this->actions.emplace_back(notify_entry{
+      request.entry, this->make_refusal(request, code, wait, reason)});
 }
 
 std::set<waiting_request, by_deadline>::iterator home::erase_waiting(
--- a/src/decide/home.hpp
+++ b/src/decide/home.hpp
@@ -31,7 +31,7 @@
 /// and orders the loads of their models.
 ///
 /// A state machine without I/O. Events come in through the `on_` functions;
-/// `take_actions` returns what the caller has to carry out. It is safe for two
+/// `take_actions` returns what the router has to carry out. It is safe for two
 /// routers to act as home of one target at the same time, since the agents
 /// enforce grants, memory limits and at-most-once execution.
 ///
@@ -41,14 +41,14 @@
 class home {
  public:
   explicit home(home_settings settings,
-                crash_attribution_settings strike_limits);
+                crash_attribution_settings crash_settings);
 
   /// Requests a permit to run an attempt. Idempotent for one attempt.
   ///
-  /// \param ask The request; its time left counts from `now`.
+  /// \param request The request; its time left counts from `now`.
   /// \return Granted, queued or refused. A refusal is final for the attempt,
   ///   which was not run.
-  wire::permit_answer request_permit(const wire::permit_request& ask,
+  wire::permit_answer request_permit(const wire::permit_request& request,
                                      time_point now);
 
   /// Removes a request whose caller has disconnected, or releases a permit that
@@ -68,18 +68,18 @@
   void on_report(const wire::agent_report& report, time_point now);
 
   /// Handles an agent's response to a load order.
-  void on_load_response(const order_load& wake, const wire::wake_answer& answer,
-                        time_point now);
+  void on_load_response(const order_load& load,
+                        const wire::wake_answer& response, time_point now);
 
   /// Handles a load that has to wait because the weight store is at its
   /// concurrency limit.
   ///
   /// \param wait Expected time until the load may start.
-  void on_load_deferred(const order_load& wake, milliseconds wait,
+  void on_load_deferred(const order_load& load, milliseconds wait,
                         time_point now);
 
   /// Handles a load order that could not be delivered.
-  void on_load_order_lost(const order_load& wake, time_point now);
+  void on_load_order_lost(const order_load& load, time_point now);
 
   /// Sets the backend servers of a target: those that hold a grant according to
   /// the model's row in the table, or the members of a pool.
@@ -134,9 +134,7 @@
   milliseconds expected_wait(const std::string& target,
                              const std::string& adapter, time_point now) const;
 
-  const crash_attribution& implicated_requests() const {
-    return this->implicated;
-  }
+  const crash_attribution& crash_records() const { return this->crashes; }
 
  private:
   struct chosen_server {
@@ -145,7 +143,7 @@
   };
 
   home_target& find_or_add_target(const std::string& name);
-  wire::permit_answer make_refusal(const wire::permit_request& ask,
+  wire::permit_answer make_refusal(const wire::permit_request& request,
                                    result_code code, milliseconds retry_after,
                                    const std::string& reason);
   void refuse_waiting(home_target& target,
@@ -155,7 +153,7 @@
   std::set<waiting_request, by_deadline>::iterator erase_waiting(
       home_target& target, std::set<waiting_request, by_deadline>::iterator at);
 
-  void dispatch_queue(home_target& target, time_point now);
+  void dispatch(home_target& target, time_point now);
   bool try_issue(home_target& target, const waiting_request& waiting,
                  time_point now);
   chosen_server choose_server(const home_target& target,
@@ -164,7 +162,7 @@
   const home_server* find_usable_server(const std::string& id,
                                         time_point now) const;
   bool can_run(const home_target& target, const home_server& server,
-               const wire::permit_request& ask) const;
+               const wire::permit_request& request) const;
   std::uint32_t in_flight(const std::string& server) const;
   void issue_permit(home_target& target, const waiting_request& waiting,
                     const chosen_server& chosen, bool exclusive,
@@ -173,18 +171,18 @@
 
   void schedule_loads(home_target& target, time_point now);
   void drop_finished_loads(home_target& target, time_point now);
-  bool is_load_finished(const home_target& target, const pending_load& wake,
+  bool is_load_finished(const home_target& target, const pending_load& load,
                         time_point now);
   void load_base_model(home_target& target, time_point now);
   void load_adapters(home_target& target, time_point now);
   void start_load(home_target& target, const std::string& server,
                   const std::string& adapter, time_point now);
   order_load make_load_order(const home_target& target,
-                             const pending_load& wake, time_point now) const;
+                             const pending_load& load, time_point now) const;
   void order_deferred_loads(home_target& target, time_point now);
   std::vector<pending_load>::iterator find_pending_load(home_target& target,
-                                                        const order_load& wake);
-  void ask_for_grants(home_target& target, std::uint32_t number,
+                                                        const order_load& load);
+  void ask_for_grants(home_target& target, std::uint32_t count,
                       const std::string& reason, time_point now);
   std::uint32_t unresponsive_servers(const home_target& target,
                                      time_point now) const;
@@ -205,15 +203,15 @@
                 std::string text, time_point now);
 
   home_settings settings;
-  crash_attribution implicated;
+  crash_attribution crashes;
   std::map<std::string, home_target> known_targets;
   std::map<std::string, home_server> known_servers;
   std::unordered_map<std::string, issued_permit> issued_permits;
   /// The target of each waiting attempt, by attempt id.
   std::unordered_map<std::string, std::string> target_by_attempt;
   std::map<std::string, std::uint32_t> in_flight_by_server;
-  /// Servers and targets with an implicated request in flight; at most one
-  /// each.
+  /// Servers and targets that have an implicated request in flight. None has
+  /// more than one.
   std::set<std::string> exclusive_servers;
   std::set<std::string> exclusive_targets;
   /// Servers that get no other requests until they are idle, with the attempt
--- a/src/decide/home_action.hpp
+++ b/src/decide/home_action.hpp
@@ -67,7 +67,7 @@
   bool operator==(const share_quarantine&) const = default;
 };
 
-/// What a home asks its caller to carry out.
+/// An action that a home decided on and the router carries out.
 using home_action = std::variant<notify_entry, order_load, request_grants,
                                  share_quarantine, report_load_end>;
 
--- a/src/decide/home_dispatch.cpp
+++ b/src/decide/home_dispatch.cpp
@@ -9,7 +9,7 @@
 
 namespace boragehill::decide {
 
-void home::dispatch_queue(home_target& target, time_point now) {
+void home::dispatch(home_target& target, time_point now) {
   auto at = target.queue.begin();
   std::size_t skipped = 0;
   while (at != target.queue.end() && skipped < this->settings.scan_limit) {
@@ -31,9 +31,9 @@
 
 bool home::try_issue(home_target& target, const waiting_request& waiting,
                      time_point now) {
-  const auto verdict =
-      this->implicated.evaluate(waiting.request.fingerprint, now);
-  const bool exclusive = std::holds_alternative<run_isolated>(verdict);
+  const auto isolation =
+      this->crashes.evaluate(waiting.request.fingerprint, now);
+  const bool exclusive = std::holds_alternative<run_isolated>(isolation);
   // Implicated requests run one at a time, so that a crash identifies the one
   // that caused it.
   if (exclusive && this->exclusive_targets.contains(target.name)) return false;
@@ -65,10 +65,11 @@
     if (server == nullptr) continue;
     if (!this->can_run(target, *server, waiting.request)) continue;
     if (this->exclusive_servers.contains(id)) continue;
-    const auto kept = this->reserved_servers.find(id);
-    const bool kept_for_other = kept != this->reserved_servers.end() &&
-                                kept->second != waiting.request.attempt;
-    if (kept_for_other) continue;
+    const auto reservation = this->reserved_servers.find(id);
+    const bool is_reserved_for_other =
+        reservation != this->reserved_servers.end() &&
+        reservation->second != waiting.request.attempt;
+    if (is_reserved_for_other) continue;
     // Reports lag, so this home counts its own permits itself. By the report
     // alone, a server that was full when it reported would be left idle until
     // its next report.
@@ -92,12 +93,13 @@
 }
 
 bool home::can_run(const home_target& target, const home_server& server,
-                   const wire::permit_request& ask) const {
+                   const wire::permit_request& request) const {
   if (!is_model_target(target.name)) return true;
   const auto* replica = server.replica(model_of_target(target.name));
   if (replica == nullptr) return false;
   if (replica->state != wire::replica_state::ready) return false;
-  return ask.adapter.empty() || contains(replica->adapters, ask.adapter);
+  return request.adapter.empty() ||
+         contains(replica->adapters, request.adapter);
 }
 
 std::uint32_t home::in_flight(const std::string& server) const {
@@ -109,30 +111,30 @@
                         const chosen_server& chosen, bool exclusive,
                         time_point now) {
   const wire::agent_report& report = chosen.server->report();
-  wire::permit_answer answer{.attempt = waiting.request.attempt};
-  answer.state = wire::permit_state::granted;
-  answer.server = chosen.id;
-  answer.data = report.data;
-  answer.control = report.control;
-  answer.fence = report.incarnation != 0 ? report.incarnation : report.fence;
-  answer.exclusive = exclusive;
+  wire::permit_answer response{.attempt = waiting.request.attempt};
+  response.state = wire::permit_state::granted;
+  response.server = chosen.id;
+  response.data = report.data;
+  response.control = report.control;
+  response.fence = report.incarnation != 0 ? report.incarnation : report.fence;
+  response.exclusive = exclusive;
   // In the agent's clock, so that the agent refuses the attempt if its sender
   // was paused and it arrives too late.
-  answer.permit_end_ms =
+  response.permit_end_ms =
       chosen.server->agent_clock(now) + this->settings.permit_allowance.count();
-  const auto slack = this->settings.permit_allowance * 2;
-  this->issued_permits[answer.attempt] = {
+  const auto grace_period = this->settings.permit_allowance * 2;
+  this->issued_permits[response.attempt] = {
       .request = waiting.request,
-      .response = answer,
+      .response = response,
       .issued_at = now,
-      .expires_at = waiting.deadline + slack};
+      .expires_at = waiting.deadline + grace_period};
   ++this->in_flight_by_server[chosen.id];
   if (exclusive) {
     this->exclusive_servers.insert(chosen.id);
     this->exclusive_targets.insert(target.name);
   }
-  this->add_note(target, answer.attempt, "sent to " + chosen.id, now);
-  this->actions.emplace_back(notify_entry{waiting.request.entry, answer});
+  this->add_note(target, response.attempt, "sent to " + chosen.id, now);
+  this->actions.emplace_back(notify_entry{waiting.request.entry, response});
 }
 
 void home::release_permit(const std::string& attempt) {
--- a/src/decide/home_estimates.cpp
+++ b/src/decide/home_estimates.cpp
@@ -21,18 +21,20 @@
     const auto* replica = server->replica(model);
     milliseconds wait = this->load_time(server->tier(model));
     if (replica != nullptr && replica->state == wire::replica_state::ready) {
-      const bool has = adapter.empty() || contains(replica->adapters, adapter);
-      wait = has ? milliseconds{0} : this->load_time(checkpoint_tier::memory);
+      const bool has_adapter =
+          adapter.empty() || contains(replica->adapters, adapter);
+      wait = has_adapter ? milliseconds{0}
+                         : this->load_time(checkpoint_tier::memory);
     }
     if (replica != nullptr && replica->state == wire::replica_state::loading) {
       wait = milliseconds(replica->ready_in_ms);
     }
     best = std::min(best, wait);
   }
-  for (const auto& wake : target.pending_loads) {
-    if (wake.adapter != adapter && !wake.adapter.empty()) continue;
+  for (const auto& load : target.pending_loads) {
+    if (load.adapter != adapter && !load.adapter.empty()) continue;
     const auto left =
-        std::chrono::duration_cast<milliseconds>(wake.expected_ready_at - now);
+        std::chrono::duration_cast<milliseconds>(load.expected_ready_at - now);
     best = std::min(best, std::max(left, milliseconds{0}));
   }
   return best;
@@ -45,9 +47,9 @@
   for (const auto& id : target.servers) {
     const home_server* server = this->find_usable_server(id, now);
     if (server == nullptr) continue;
-    const std::uint32_t own = server->report().slots;
-    cold_slots = std::max(cold_slots, own);
-    if (this->can_run(target, *server, {})) slots += own;
+    const std::uint32_t server_slots = server->report().slots;
+    cold_slots = std::max(cold_slots, server_slots);
+    if (this->can_run(target, *server, {})) slots += server_slots;
   }
   // Before the first replica is ready the queue waits for the one that loads.
   // If that counted as one slot, most of the first burst for a cold model would
@@ -93,8 +95,8 @@
       ++at;
       continue;
     }
-    const auto hopeless = at++;
-    this->refuse_waiting(target, hopeless, result_code::deadline_unreachable,
+    const auto unreachable = at++;
+    this->refuse_waiting(target, unreachable, result_code::deadline_unreachable,
                          "the earliest start is past its deadline", now);
   }
 }
--- a/src/decide/home_server.hpp
+++ b/src/decide/home_server.hpp
@@ -22,16 +22,16 @@
   ///
   /// \param own_in_flight This home's permits in use on the server.
   /// \return Whether the report was applied.
-  bool apply_report(const wire::agent_report& report,
-                    std::uint32_t own_in_flight, time_point now) {
-    const bool numbered = report.fence != 0;
-    if (numbered && report.fence < this->last_report.fence) return false;
+  bool update(const wire::agent_report& report, std::uint32_t own_in_flight,
+              time_point now) {
+    const bool has_number = report.fence != 0;
+    if (has_number && report.fence < this->last_report.fence) return false;
     // An agent that restarted while the table is down has no fencing number
     // yet. The VM's monotonic clock continues across agent restarts, so it
     // shows which report is newer. Only after a reboot is the clock lower, and
     // then the fencing number is higher.
-    const bool later = report.now_ms >= this->last_report.now_ms;
-    if (!later && report.fence <= this->last_report.fence) return false;
+    const bool is_later = report.now_ms >= this->last_report.now_ms;
+    if (!is_later && report.fence <= this->last_report.fence) return false;
     this->last_report = report;
     this->received_at = now;
     this->other_running =
@@ -54,28 +54,29 @@
 
   /// Returns whether it may get new requests: it reported recently, is not
   /// draining, its engine is up and it is not in a cool-down after a failure.
-  bool is_usable(time_point now, milliseconds silence) const {
+  bool is_usable(time_point now, milliseconds timeout) const {
     if (this->draining || this->last_report.draining) return false;
     if (!this->last_report.backend_up) return false;
     if (now < this->cooldown_until) return false;
-    return now - this->received_at <= silence;
+    return now - this->received_at <= timeout;
   }
 
   /// Returns whether it reported recently, even if it is draining or its engine
   /// is down.
-  bool has_recent_report(time_point now, milliseconds silence) const {
-    return now - this->received_at <= silence;
+  bool has_recent_report(time_point now, milliseconds timeout) const {
+    return now - this->received_at <= timeout;
   }
 
-  void set_cooldown(time_point when) { this->cooldown_until = when; }
+  void set_cooldown(time_point until) { this->cooldown_until = until; }
   void set_draining() { this->draining = true; }
 
   /// Returns a model's entry in the last report; null if there is none.
   const wire::replica_report* replica(const std::string& model) const {
-    const auto& all = this->last_report.replicas;
+    const auto& replicas = this->last_report.replicas;
     const auto found = std::find_if(
-        all.begin(), all.end(), [&](const auto& r) { return r.name == model; });
-    return found == all.end() ? nullptr : &*found;
+        replicas.begin(), replicas.end(),
+        [&](const auto& replica) { return replica.name == model; });
+    return found == replicas.end() ? nullptr : &*found;
   }
 
   /// Returns the tier that the server would load a model's checkpoint from.
--- a/src/decide/home_target.hpp
+++ b/src/decide/home_target.hpp
@@ -19,8 +19,8 @@
 
 /// The state that a home keeps for one model or pool.
 struct home_target {
-  explicit home_target(std::string target_name, milliseconds run_time_guess)
-      : name(std::move(target_name)), mean_run_time(run_time_guess) {}
+  explicit home_target(std::string target_name, milliseconds initial_run_time)
+      : name(std::move(target_name)), mean_run_time(initial_run_time) {}
 
   /// "model:<base>" or "pool:<name>".
   std::string name;
@@ -36,8 +36,9 @@
   std::vector<pending_load> pending_loads;
   running_mean mean_run_time;
   time_point last_arrival_at;
-  /// The number of grants last requested, so that a burst requests them once.
-  std::uint32_t requested_grants = 0;
+  /// The number of grants last requested, so that a burst of requests does not
+  /// request them again and again.
+  std::uint32_t wanted_grants = 0;
   time_point grants_requested_at;
   std::deque<decision_note> notes;
 };
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A removed VM is forgotten after this many times `removal_delay`.
-constexpr int gone_kept = 20;
+constexpr int retention_factor = 20;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 void membership::on_heartbeat(const vm_info& vm, time_point now) {
   member& known = this->members[vm.id];
   if (!known.listed) known.vm = vm;
-  known.last_heartbeat_at = now;
+  known.heartbeat_at = now;
   if (vm.state == vm_state::leaving) this->draining.insert(vm.id);
 }
 
@@ -77,12 +77,11 @@
   // its entry starts the removal delay.
   const member& known = this->members[id];
   if (known.listed || !known.unlisted_since) return false;
-  const milliseconds needed = this->settings.removal_delay;
-  if (known.last_heartbeat_at && now - *known.last_heartbeat_at < needed)
-    return false;
+  const milliseconds delay = this->settings.removal_delay;
+  if (known.heartbeat_at && now - *known.heartbeat_at < delay) return false;
   // Measured up to the last successful read: a failed read does not show that
   // the VM is still missing.
-  return *this->last_list_at - *known.unlisted_since >= needed;
+  return *this->last_list_at - *known.unlisted_since >= delay;
 }
 
 bool membership::is_suspected(const std::string& id, time_point now) const {
@@ -108,8 +107,8 @@
   if (known.listed) return true;
   // A listed process without heartbeats may be live, since agents report to few
   // routers. An unlisted one is live only while its heartbeats arrive.
-  return known.last_heartbeat_at &&
-         now - *known.last_heartbeat_at <= this->settings.heartbeat_timeout;
+  return known.heartbeat_at &&
+         now - *known.heartbeat_at <= this->settings.heartbeat_timeout;
 }
 
 void membership::drop_expired(time_point now) {
@@ -117,12 +116,11 @@
                 [&](const auto& item) { return now >= item.second; });
   // Draining marks are kept: a stale list must not make a VM that is shutting
   // down usable again.
-  const milliseconds keep = gone_kept * this->settings.removal_delay;
+  const milliseconds keep = retention_factor * this->settings.removal_delay;
   std::erase_if(this->members, [&](const auto& item) {
     const member& known = item.second;
     if (known.listed || !known.unlisted_since) return false;
-    if (known.last_heartbeat_at && now - *known.last_heartbeat_at < keep)
-      return false;
+    if (known.heartbeat_at && now - *known.heartbeat_at < keep) return false;
     return now - *known.unlisted_since >= keep;
   });
 }
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -66,7 +66,7 @@
   struct member {
     vm_info vm;
     bool listed = false;
-    std::optional<time_point> last_heartbeat_at;
+    std::optional<time_point> heartbeat_at;
     /// The first of the consecutive list reads that do not contain it.
     std::optional<time_point> unlisted_since;
   };
--- a/src/decide/placement_choice.cpp
+++ b/src/decide/placement_choice.cpp
@@ -14,13 +14,13 @@
 
 /// Counts the model's grants by failure domain and region. The domain key
 /// includes the region, since two regions may use the same domain names.
-struct spread {
-  std::map<std::pair<std::string, std::string>, std::uint32_t> domains;
-  std::map<std::string, std::uint32_t> regions;
+struct grant_counts {
+  std::map<std::pair<std::string, std::string>, std::uint32_t> by_domain;
+  std::map<std::string, std::uint32_t> by_region;
 
   void add(const placement_server& server) {
-    this->domains[{server.region, server.failure_domain}] += 1;
-    this->regions[server.region] += 1;
+    this->by_domain[{server.region, server.failure_domain}] += 1;
+    this->by_region[server.region] += 1;
   }
 };
 
@@ -29,8 +29,8 @@
          request.granted_servers.end();
 }
 
-bool takes_grants(const placement_request& request,
-                  const placement_server& server) {
+bool can_take_grant(const placement_request& request,
+                    const placement_server& server) {
   if (server.draining || server.suspected) return false;
   if (!request.pool.empty() && server.pool != request.pool) return false;
   return server.capacity_bytes >= request.bytes && server.capacity_bytes > 0;
@@ -42,13 +42,13 @@
 }
 
 /// Returns the rank of a candidate for a new grant; the lowest is chosen.
-auto rank_of(const placement_server& server, const spread& standing,
-             const std::string& model) {
+auto grant_rank(const placement_server& server, const grant_counts& counts,
+                const std::string& model) {
   const auto domain =
-      standing.domains.find({server.region, server.failure_domain});
-  const auto region = standing.regions.find(server.region);
-  const bool new_domain = domain == standing.domains.end();
-  const bool new_region = region == standing.regions.end();
+      counts.by_domain.find({server.region, server.failure_domain});
+  const auto region = counts.by_region.find(server.region);
+  const bool new_domain = domain == counts.by_domain.end();
+  const bool new_region = region == counts.by_region.end();
   return std::tuple{new_domain ? 0U : domain->second,
                     new_region ? 0U : region->second,
                     server.tier,
@@ -59,31 +59,30 @@
 
 std::uint32_t grants_to_add(const placement_request& request,
                             std::uint32_t usable) {
-  const auto standing =
-      static_cast<std::uint32_t>(request.granted_servers.size());
-  if (usable >= request.wanted_grants || standing >= request.max_grants)
-    return 0;
-  return std::min(request.wanted_grants - usable,
-                  request.max_grants - standing);
+  const auto total = static_cast<std::uint32_t>(request.granted_servers.size());
+  if (usable >= request.wanted_grants || total >= request.max_grants) return 0;
+  return std::min(request.wanted_grants - usable, request.max_grants - total);
 }
 
-auto wake_rank_of(const load_candidate& view,
-                  const load_placement_request& request) {
-  const bool fits_free = view.free_bytes >= request.bytes;
-  const bool has_room = view.free_bytes + view.evictable_bytes >= request.bytes;
-  const std::uint64_t last = ~rendezvous_weight(view.server, request.model);
-  switch (view.state) {
+auto load_rank(const load_candidate& candidate,
+               const load_placement_request& request) {
+  const bool fits_free = candidate.free_bytes >= request.bytes;
+  const bool has_room =
+      candidate.free_bytes + candidate.evictable_bytes >= request.bytes;
+  const std::uint64_t tie_breaker =
+      ~rendezvous_weight(candidate.server, request.model);
+  switch (candidate.state) {
     case wire::replica_state::ready:
-      return std::tuple{0, std::int64_t{0}, 0, view.running, last};
+      return std::tuple{0, std::int64_t{0}, 0, candidate.running, tie_breaker};
     case wire::replica_state::loading:
-      return std::tuple{1, std::int64_t{view.ready_in.count()}, 0, view.running,
-                        last};
+      return std::tuple{1, std::int64_t{candidate.ready_in.count()}, 0,
+                        candidate.running, tie_breaker};
     case wire::replica_state::cold:
     case wire::replica_state::unloading:
       break;
   }
-  return std::tuple{has_room ? 2 : 3, static_cast<std::int64_t>(view.tier),
-                    fits_free ? 0 : 1, view.running, last};
+  return std::tuple{has_room ? 2 : 3, static_cast<std::int64_t>(candidate.tier),
+                    fits_free ? 0 : 1, candidate.running, tie_breaker};
 }
 
 }  // namespace
@@ -91,12 +90,12 @@
 std::vector<std::string> choose_grant_servers(
     const placement_request& request) {
   std::vector<const placement_server*> candidates;
-  spread standing;
+  grant_counts counts;
   std::uint32_t usable = 0;
   for (const placement_server& server : request.servers) {
     const bool granted = holds_grant(request, server.id);
-    if (granted) standing.add(server);
-    if (!takes_grants(request, server)) continue;
+    if (granted) counts.add(server);
+    if (!can_take_grant(request, server)) continue;
     if (granted) {
       usable += 1;
     } else {
@@ -108,9 +107,9 @@
   while (chosen.size() < count && !candidates.empty()) {
     const auto best = std::ranges::min_element(
         candidates, std::less{}, [&](const placement_server* server) {
-          return rank_of(*server, standing, request.model);
+          return grant_rank(*server, counts, request.model);
         });
-    standing.add(**best);
+    counts.add(**best);
     chosen.push_back((*best)->id);
     candidates.erase(best);
   }
@@ -120,11 +119,11 @@
 std::optional<std::string> choose_load_server(
     const load_placement_request& request) {
   const load_candidate* best = nullptr;
-  for (const load_candidate& view : request.candidates) {
-    if (!view.usable) continue;
-    const bool better = best == nullptr || wake_rank_of(view, request) <
-                                               wake_rank_of(*best, request);
-    if (better) best = &view;
+  for (const load_candidate& candidate : request.candidates) {
+    if (!candidate.usable) continue;
+    const bool better = best == nullptr || load_rank(candidate, request) <
+                                               load_rank(*best, request);
+    if (better) best = &candidate;
   }
   if (best == nullptr) return std::nullopt;
   return best->server;
--- a/src/decide/rendezvous.cpp
+++ b/src/decide/rendezvous.cpp
@@ -24,14 +24,15 @@
     weighted.emplace_back(weight, std::move(router));
   }
   const std::size_t kept = std::min(count, weighted.size());
-  const auto middle = weighted.begin() + static_cast<std::ptrdiff_t>(kept);
-  std::partial_sort(weighted.begin(), middle, weighted.end(), std::greater{});
-  std::vector<std::string> order;
-  order.reserve(kept);
+  const auto end_of_kept = weighted.begin() + static_cast<std::ptrdiff_t>(kept);
+  std::partial_sort(weighted.begin(), end_of_kept, weighted.end(),
+                    std::greater{});
+  std::vector<std::string> ranked;
+  ranked.reserve(kept);
   for (std::size_t i = 0; i < kept; ++i) {
-    order.push_back(std::move(weighted[i].second));
+    ranked.push_back(std::move(weighted[i].second));
   }
-  return order;
+  return ranked;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/store_load_scheduler.cpp
+++ b/src/decide/store_load_scheduler.cpp
@@ -54,30 +54,32 @@
 }
 
 void store_load_scheduler::finish(const std::string& server,
-                                  const std::string& model, milliseconds took) {
+                                  const std::string& model,
+                                  milliseconds duration) {
   const load_key key{server, model};
   this->queue.erase(key);
   const bool held_slot = this->slots.erase(key) > 0;
-  if (!held_slot || took <= milliseconds{0}) return;
+  if (!held_slot || duration <= milliseconds{0}) return;
   const double mean = static_cast<double>(this->mean_load_time.count());
-  const double newest = static_cast<double>(took.count());
+  const double newest = static_cast<double>(duration.count());
   const double next = mean + newest_weight * (newest - mean);
   this->mean_load_time = milliseconds{static_cast<std::int64_t>(next)};
 }
 
 milliseconds store_load_scheduler::expected_wait(time_point deadline,
                                                  time_point now) const {
-  const queued_load asked{.deadline = deadline};
+  const queued_load candidate{.deadline = deadline};
   std::size_t ahead = 0;
   for (const auto& [key, load] : this->queue) {
-    if (needs_slot(load) && load.deadline <= asked.deadline) ahead += 1;
+    if (needs_slot(load) && load.deadline <= candidate.deadline) ahead += 1;
   }
-  std::vector<milliseconds> left;
-  for (const auto& [key, began] : this->slots) {
-    left.push_back(this->mean_load_time - to_milliseconds(now - began));
+  std::vector<milliseconds> remaining;
+  for (const auto& [key, started_at] : this->slots) {
+    remaining.push_back(this->mean_load_time -
+                        to_milliseconds(now - started_at));
   }
-  return expected_start(ahead, std::move(left), this->settings.max_parallel,
-                        this->mean_load_time);
+  return expected_start(ahead, std::move(remaining),
+                        this->settings.max_parallel, this->mean_load_time);
 }
 
 milliseconds store_load_scheduler::load_time() const {
@@ -118,20 +120,22 @@
 }
 
 milliseconds expected_start(std::size_t position,
-                            std::vector<milliseconds> left,
-                            std::uint32_t parallel, milliseconds load_time) {
-  const std::size_t slots = std::max<std::size_t>(parallel, 1);
-  for (milliseconds& span : left) span = std::max(span, milliseconds{0});
-  std::ranges::sort(left);
+                            std::vector<milliseconds> remaining,
+                            std::uint32_t max_parallel,
+                            milliseconds load_time) {
+  const std::size_t slots = std::max<std::size_t>(max_parallel, 1);
+  for (milliseconds& span : remaining) span = std::max(span, milliseconds{0});
+  std::ranges::sort(remaining);
   // The limit is soft, so more loads may run than there are slots. The surplus
   // ones that end first do not free a slot.
-  if (left.size() > slots) {
-    const auto extra = static_cast<std::ptrdiff_t>(left.size() - slots);
-    left.erase(left.begin(), left.begin() + extra);
+  if (remaining.size() > slots) {
+    const auto surplus = static_cast<std::ptrdiff_t>(remaining.size() - slots);
+    remaining.erase(remaining.begin(), remaining.begin() + surplus);
   }
-  left.insert(left.begin(), slots - left.size(), milliseconds{0});
+  remaining.insert(remaining.begin(), slots - remaining.size(),
+                   milliseconds{0});
   const auto rounds = static_cast<std::int64_t>(position / slots);
-  return left[position % slots] + rounds * load_time;
+  return remaining[position % slots] + rounds * load_time;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/store_load_scheduler.hpp
+++ b/src/decide/store_load_scheduler.hpp
@@ -36,9 +36,9 @@
   /// Frees the slot of a load that completed or failed, or removes the load
   /// from the queue.
   ///
-  /// \param took How long it took; 0 if it failed.
+  /// \param duration How long it took; 0 if it failed.
   void finish(const std::string& server, const std::string& model,
-              milliseconds took);
+              milliseconds duration);
 
   /// Returns the expected wait until a remote load queued now would start.
   ///
@@ -69,12 +69,12 @@
 /// Returns the expected wait of the remote load at a queue position.
 ///
 /// \param position Number of loads ahead of it.
-/// \param left Remaining time of each running load, in any order.
-/// \param parallel Maximum number of concurrent loads.
+/// \param remaining Remaining time of each running load, in any order.
+/// \param max_parallel Maximum number of concurrent loads.
 /// \param load_time Expected duration of one load.
 milliseconds expected_start(std::size_t position,
-                            std::vector<milliseconds> left,
-                            std::uint32_t parallel, milliseconds load_time);
+                            std::vector<milliseconds> remaining,
+                            std::uint32_t max_parallel, milliseconds load_time);
 
 }  // namespace boragehill::decide
 
--- a/test/decide-test/membership_test.cpp
+++ b/test/decide-test/membership_test.cpp
@@ -62,7 +62,7 @@
   EXPECT_FALSE(view.is_suspected("s", at(6000)));
 }
 
-TEST(membership_test, never_takes_a_leaving_mark_back) {
+TEST(membership_test, never_clears_a_draining_mark) {
   // Guards against new requests for a VM that is being reclaimed: it reported
   // to be draining, but the lagging list shows it as live for some seconds.
   membership view({});
@@ -70,15 +70,15 @@
   view.on_vm_list({server("s")}, start);
   view.on_heartbeat(server("s"), start);
   EXPECT_TRUE(view.usable_servers(start).empty());
-  vm_info leaving = server("t");
-  leaving.state = vm_state::leaving;
-  view.on_vm_list({leaving}, at(1));
+  vm_info draining = server("t");
+  draining.state = vm_state::leaving;
+  view.on_vm_list({draining}, at(1));
   view.on_vm_list({server("t")}, at(2));
   EXPECT_TRUE(view.is_draining("t"));
   EXPECT_TRUE(view.usable_servers(at(2)).empty());
 }
 
-TEST(membership_test, counts_an_unlisted_process_while_it_speaks) {
+TEST(membership_test, counts_an_unlisted_process_while_it_sends_heartbeats) {
   membership view({});
   view.on_vm_list({router("r1")}, start);
   view.on_heartbeat(router("r2"), at(100));
@@ -86,7 +86,7 @@
   EXPECT_EQ(ids_of(view.live_routers("texas", at(5101))), names{"r1"});
 }
 
-TEST(membership_test, is_gone_only_by_successful_reads_over_long_enough) {
+TEST(membership_test, removes_a_vm_only_after_successful_reads_over_the_delay) {
   membership view({});
   view.on_vm_list({server("s"), server("t")}, start);
   view.on_vm_list({server("t")}, at(1000));
@@ -100,7 +100,7 @@
   EXPECT_FALSE(view.is_removed("s", at(31001)));
 }
 
-TEST(membership_test, watches_a_server_that_only_a_row_names) {
+TEST(membership_test, removes_a_server_that_is_known_only_from_a_row) {
   // A home that started after a server was lost finds the server's grant in the
   // model's row. It must free that grant eventually, but not the grant of a
   // server that is too new to be listed.
--- a/test/decide-test/placement_choice_test.cpp
+++ b/test/decide-test/placement_choice_test.cpp
@@ -24,7 +24,7 @@
           .free_bytes = 100};
 }
 
-TEST(placement_choice_test, spreads_before_it_follows_the_checkpoint) {
+TEST(placement_choice_test, prefers_spread_over_a_cached_checkpoint) {
   placement_server cached = server_in("s2", "a");
   cached.tier = checkpoint_tier::memory;
   const placement_request request{
@@ -36,7 +36,8 @@
   EXPECT_EQ(choose_grant_servers(request), names{"s3"});
 }
 
-TEST(placement_choice_test, prefers_the_checkpoint_then_the_least_granted) {
+TEST(placement_choice_test,
+     prefers_a_cached_checkpoint_then_the_least_granted) {
   placement_server granted = server_in("s1", "a");
   granted.granted_bytes = 300;
   placement_server cached = granted;
@@ -50,24 +51,24 @@
   EXPECT_EQ(choose_grant_servers(request), names{"s3"});
 }
 
-TEST(placement_choice_test, replaces_a_suspected_server_within_the_most) {
+TEST(placement_choice_test, replaces_a_suspected_server_within_the_maximum) {
   // The replica of a server that stopped responding may still be loaded, so its
   // grant is kept. A further grant restores the model, up to the configured
   // maximum.
-  placement_server silent = server_in("s1", "a");
-  silent.suspected = true;
+  placement_server suspected = server_in("s1", "a");
+  suspected.suspected = true;
   placement_request request{.model = "m",
                             .bytes = 60,
                             .wanted_grants = 1,
                             .max_grants = 2,
                             .granted_servers = {"s1"},
-                            .servers = {silent, server_in("s2", "b")}};
+                            .servers = {suspected, server_in("s2", "b")}};
   EXPECT_EQ(choose_grant_servers(request), names{"s2"});
   request.max_grants = 1;
   EXPECT_TRUE(choose_grant_servers(request).empty());
 }
 
-TEST(placement_choice_test, stays_even_and_takes_no_unfit_server) {
+TEST(placement_choice_test, spreads_evenly_and_skips_unsuitable_servers) {
   for (unsigned seed = 0; seed < 300; ++seed) {
     std::mt19937 random(seed);
     placement_request request{
@@ -75,7 +76,7 @@
         .bytes = 60,
         .wanted_grants = static_cast<std::uint32_t>(1 + random() % 12)};
     std::map<std::string, std::size_t> grants;
-    std::map<std::string, std::size_t> room;
+    std::map<std::string, std::size_t> suitable_servers;
     for (unsigned i = 0; i < 20; ++i) {
       const std::string domain(1, static_cast<char>('a' + random() % 4));
       placement_server server = server_in("s" + std::to_string(i), domain);
@@ -84,31 +85,33 @@
       server.suspected = random() % 5 == 0;
       if (random() % 5 == 0) server.capacity_bytes = 59;
       grants[domain] += 0;
-      const bool fit = !server.draining && !server.suspected &&
-                       server.capacity_bytes >= request.bytes;
-      room[domain] += fit ? 1 : 0;
+      const bool is_suitable = !server.draining && !server.suspected &&
+                               server.capacity_bytes >= request.bytes;
+      suitable_servers[domain] += is_suitable ? 1 : 0;
       request.servers.push_back(server);
     }
-    const std::size_t fit_servers =
-        room["a"] + room["b"] + room["c"] + room["d"];
+    const std::size_t suitable_total =
+        suitable_servers["a"] + suitable_servers["b"] + suitable_servers["c"] +
+        suitable_servers["d"];
     const names chosen = choose_grant_servers(request);
     ASSERT_EQ(chosen.size(),
-              std::min<std::size_t>(request.wanted_grants, fit_servers));
+              std::min<std::size_t>(request.wanted_grants, suitable_total));
     for (const std::string& id : chosen) {
       const auto& server =
           *std::ranges::find(request.servers, id, &placement_server::id);
       ASSERT_FALSE(server.draining || server.suspected);
       ASSERT_GE(server.capacity_bytes, request.bytes);
       grants[server.failure_domain] += 1;
-      room[server.failure_domain] -= 1;
+      suitable_servers[server.failure_domain] -= 1;
     }
-    ASSERT_TRUE(invariants::grants_spread(grants, room)) << "seed " << seed;
+    ASSERT_TRUE(invariants::grants_spread(grants, suitable_servers))
+        << "seed " << seed;
     std::ranges::shuffle(request.servers, random);
     ASSERT_EQ(choose_grant_servers(request), chosen) << "seed " << seed;
   }
 }
 
-TEST(placement_choice_test, wakes_the_replica_that_is_ready_soonest) {
+TEST(placement_choice_test, chooses_the_server_that_is_ready_soonest) {
   using wire::replica_state;
   // In order of preference.
   const std::vector<load_candidate> ranked{
--- a/test/decide-test/rendezvous_test.cpp
+++ b/test/decide-test/rendezvous_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_EQ(rendezvous_weight("r1", "model:m"), 7808149554885964221ULL);
 }
 
-TEST(rendezvous_test, returns_no_more_than_there_are) {
+TEST(rendezvous_test, returns_at_most_as_many_as_there_are_routers) {
   EXPECT_EQ(rank_homes("model:m", routers_named(3), 2).size(), 2U);
   EXPECT_EQ(rank_homes("model:m", routers_named(3), 9).size(), 3U);
   EXPECT_TRUE(rank_homes("model:m", {}, 2).empty());
