--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -14,8 +14,8 @@
       offer.fence != this->own_fencing_number) {
     return {.code = result_code::wrong_incarnation};
   }
-  const auto verdict = this->registry.check(offer.id, offer.permit_end, now);
-  if (verdict.code != result_code::ok) return verdict;
+  const auto decision = this->registry.check(offer.id, offer.permit_end, now);
+  if (decision.code != result_code::ok) return decision;
   if (this->is_draining) return {.code = result_code::draining};
   if (target != result_code::ok) return {.code = target};
   if (!this->try_start(offer, now)) return {.code = result_code::server_busy};
@@ -36,24 +36,24 @@
   return false;
 }
 
-void admission::end(const attempt_id& id, bool whole) {
+void admission::end(const attempt_id& id, bool is_complete) {
   if (this->registry.state_of(id, time_point::max()) !=
       attempt_state::running) {
     return;
   }
-  this->registry.end(id, whole);
+  this->registry.end(id, is_complete);
   --this->running_count;
   if (this->exclusive_attempt == id) this->exclusive_attempt.reset();
 }
 
-attempt_state admission::state_of(const attempt_offer& asked) const {
-  if (asked.fence != this->own_fencing_number) return attempt_state::forgotten;
-  return this->registry.state_of(asked.id, asked.permit_end);
+attempt_state admission::state_of(const attempt_offer& offer) const {
+  if (offer.fence != this->own_fencing_number) return attempt_state::forgotten;
+  return this->registry.state_of(offer.id, offer.permit_end);
 }
 
-attempt_state admission::tombstone(const attempt_offer& asked, time_point now) {
-  if (asked.fence != this->own_fencing_number) return attempt_state::forgotten;
-  return this->registry.tombstone(asked.id, asked.permit_end, now);
+attempt_state admission::tombstone(const attempt_offer& offer, time_point now) {
+  if (offer.fence != this->own_fencing_number) return attempt_state::forgotten;
+  return this->registry.tombstone(offer.id, offer.permit_end, now);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -41,7 +41,7 @@
   void set_fencing_number(std::uint64_t fence) {
     this->own_fencing_number = fence;
   }
-  /// Sets the number of attempts that may run concurrently.
+  /// Sets the maximum number of concurrent attempts.
   void set_slots(std::uint32_t slots) { this->slot_count = slots; }
   /// Refuses every offer from now on.
   void drain() { this->is_draining = true; }
@@ -58,23 +58,25 @@
 
   /// Records the end of an admitted attempt; other ids are ignored.
   ///
-  /// \param whole True if the backend server sent the complete response.
-  void end(const attempt_id& id, bool whole);
+  /// \param is_complete True if the backend server sent the complete response.
+  void end(const attempt_id& id, bool is_complete);
 
-  /// Returns the state of an attempt; `forgotten` if it was offered with
-  /// another incarnation's fencing number.
-  attempt_state state_of(const attempt_offer& asked) const;
-
-  /// Prevents an attempt that was not seen yet from running, if it carries this
+  /// Returns the state of an attempt; `forgotten` if its offer has another
   /// incarnation's fencing number.
-  attempt_state tombstone(const attempt_offer& asked, time_point now);
+  attempt_state state_of(const attempt_offer& offer) const;
+
+  /// Prevents an attempt that was not seen yet from running.
+  ///
+  /// \return Its state; `forgotten` if its offer has another incarnation's
+  ///   fencing number.
+  attempt_state tombstone(const attempt_offer& offer, time_point now);
 
   /// Removes the attempts that are past their retention time.
   void remove_expired(time_point now) { this->registry.remove_expired(now); }
 
   /// Returns the number of running attempts.
   std::uint32_t running() const { return this->running_count; }
-  /// Returns the number of attempts that may run concurrently.
+  /// Returns the maximum number of concurrent attempts.
   std::uint32_t slots() const { return this->slot_count; }
   /// Returns true if every offer is refused.
   bool draining() const { return this->is_draining; }
@@ -82,10 +84,12 @@
   std::size_t known_attempts() const { return this->registry.size(); }
 
   /// How long no other attempt starts after an exclusive one was rejected as
-  /// busy. Its router retries well within this time.
+  /// busy. Its router sends it again well within this time.
   static constexpr milliseconds exclusive_reservation{1500};
 
  private:
+  /// Returns whether the attempt may start now. Otherwise an exclusive one
+  /// reserves the server.
   bool try_start(const attempt_offer& offer, time_point now);
 
   attempt_registry registry;
--- a/src/decide/attempt_history.cpp
+++ b/src/decide/attempt_history.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Maximum number of attempts, including refused ones. After so many refusals
-/// all servers are full or this router's view of them is wrong, and the caller
-/// gets an error.
-constexpr int most_sends = 6;
+/// Maximum number of attempts, including refused ones. If that many servers
+/// refused in turn, all are full or this router's view of them is wrong, and
+/// the caller gets an error.
+constexpr int max_attempts = 6;
 
 }  // namespace
 
@@ -24,9 +24,9 @@
   this->last_server = server;
 }
 
-void attempt_history::on_not_run(bool ask_again) {
+void attempt_history::on_not_run(bool may_try_again) {
   this->is_in_flight = false;
-  if (ask_again) this->tried_servers.erase(this->last_server);
+  if (may_try_again) this->tried_servers.erase(this->last_server);
 }
 
 void attempt_history::on_possible_run() {
@@ -46,21 +46,21 @@
 }
 
 bool attempt_history::may_attempt() const {
-  if (this->is_in_flight || this->attempts_made >= most_sends) return false;
+  if (this->is_in_flight || this->attempts_made >= max_attempts) return false;
   if (this->possible_runs == 0) return true;
   return this->may_run_again() && this->possible_runs < this->max_runs;
 }
 
 bool attempt_history::may_reassign() const {
-  return this->may_run_again() && this->attempts_made < most_sends &&
+  return this->may_run_again() && this->attempts_made < max_attempts &&
          this->possible_runs + 1 < this->max_runs;
 }
 
 bool attempt_history::may_retry_failure() const {
   // A stream is resumed after an interruption, but a failure status is its
   // response.
-  const bool repeatable = this->rule == fleet::repeat_rule::idempotent;
-  return repeatable && this->attempts_made < most_sends &&
+  const bool is_idempotent = this->rule == fleet::repeat_rule::idempotent;
+  return is_idempotent && this->attempts_made < max_attempts &&
          this->possible_runs + 1 < this->max_runs;
 }
 
--- a/src/decide/attempt_history.hpp
+++ b/src/decide/attempt_history.hpp
@@ -17,38 +17,34 @@
  public:
   /// \param rule Which requests may run more than once.
   /// \param resumable True if another server may continue the response.
-  /// \param attempts The maximum number of servers that may run the request.
+  /// \param max_runs The maximum number of servers that may run the request.
   attempt_history(fleet::repeat_rule rule, bool resumable, int max_runs);
 
   /// Records that the request is sent to a server.
   void on_attempt(const std::string& server);
   /// Records proof that the last server did not run the request.
-  /// \param ask_again True if it may be sent there again: this router's view of
-  ///     the server was wrong, or the server gave a retry-after period.
-  void on_not_run(bool ask_again);
+  /// \param may_try_again True if it may be sent there again: this router's
+  ///     view of the server was wrong, or the server gave a retry-after period.
+  void on_not_run(bool may_try_again);
   /// Records that the last server may have run the request.
   void on_possible_run();
 
   /// \return True if the request may be sent to a server.
   bool may_attempt() const;
   /// \return True if the request may be sent to another server after the
-  /// current
-  ///     one responded with a failure.
+  ///     current one responded with a failure.
   bool may_retry_failure() const;
   /// \return True if the request may be sent to another server while the
-  /// current
-  ///     one may still run it.
+  ///     current one may still run it.
   bool may_reassign() const;
   /// \return True if no server has run the request or may still run it.
   bool is_known_not_run() const {
     return this->possible_runs == 0 && !this->is_in_flight;
   }
-  /// \return True if the request was sent at least once.
   bool was_attempted() const { return this->attempts_made > 0; }
   int attempt_count() const { return this->attempts_made; }
   /// \return True if the request was sent to that server, which did not
-  /// complete
-  ///     it and must not be chosen again.
+  ///     complete it and must not be chosen again.
   bool has_tried(const std::string& server) const {
     return this->tried_servers.contains(server);
   }
--- a/src/decide/attempt_registry.cpp
+++ b/src/decide/attempt_registry.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr admission_decision refused(result_code code) {
+constexpr admission_decision refuse(result_code code) {
   return {.code = code, .ran = ran_state::no};
 }
 
-admission_decision verdict_on_seen(attempt_state state) {
+admission_decision decide_on_known(attempt_state state) {
   if (state == attempt_state::never_ran) {
-    return refused(result_code::attempt_tombstoned);
+    return refuse(result_code::attempt_tombstoned);
   }
   return {.code = result_code::attempt_seen, .ran = ran_state::unknown};
 }
@@ -26,33 +26,34 @@
                                            time_point permit_end,
                                            time_point now) const {
   const auto found = this->entries.find(id);
-  if (found != this->entries.end()) return verdict_on_seen(found->second.state);
-  if (permit_end <= this->forgotten_until) {
+  if (found != this->entries.end()) return decide_on_known(found->second.state);
+  if (permit_end <= this->evicted_until) {
     return {.code = result_code::permit_ended, .ran = ran_state::unknown};
   }
-  if (permit_end <= now) return refused(result_code::permit_ended);
+  if (permit_end <= now) return refuse(result_code::permit_ended);
   if (permit_end > now + this->settings.max_permit_duration) {
-    return refused(result_code::bad_header);
+    return refuse(result_code::bad_header);
   }
-  if (!this->has_capacity(now)) return refused(result_code::server_busy);
+  if (!this->has_capacity(now)) return refuse(result_code::server_busy);
   return {};
 }
 
 admission_decision attempt_registry::begin(const attempt_id& id,
                                            time_point permit_end,
                                            time_point now) {
-  const admission_decision verdict = this->check(id, permit_end, now);
-  if (verdict.code != result_code::ok) return verdict;
+  const admission_decision decision = this->check(id, permit_end, now);
+  if (decision.code != result_code::ok) return decision;
   this->evict_if_full();
   this->insert(id, {attempt_state::running, permit_end});
-  return verdict;
+  return decision;
 }
 
-void attempt_registry::end(const attempt_id& id, bool whole) {
+void attempt_registry::end(const attempt_id& id, bool is_complete) {
   const auto found = this->entries.find(id);
   if (found == this->entries.end()) return;
   if (found->second.state != attempt_state::running) return;
-  found->second.state = whole ? attempt_state::ended : attempt_state::broken;
+  found->second.state =
+      is_complete ? attempt_state::ended : attempt_state::broken;
   this->not_running.emplace(found->second.permit_end, id);
 }
 
@@ -60,7 +61,7 @@
                                          time_point permit_end) const {
   const auto found = this->entries.find(id);
   if (found != this->entries.end()) return found->second.state;
-  if (permit_end <= this->forgotten_until) return attempt_state::forgotten;
+  if (permit_end <= this->evicted_until) return attempt_state::forgotten;
   return attempt_state::never_ran;
 }
 
@@ -108,7 +109,7 @@
 
 void attempt_registry::evict_oldest() {
   const auto oldest = this->not_running.begin();
-  this->forgotten_until = std::max(this->forgotten_until, oldest->first);
+  this->evicted_until = std::max(this->evicted_until, oldest->first);
   this->entries.erase(oldest->second);
   this->not_running.erase(oldest);
 }
--- a/src/decide/attempt_registry.hpp
+++ b/src/decide/attempt_registry.hpp
@@ -42,19 +42,18 @@
 /// Lets each attempt id run at most once and keeps the ended ones.
 ///
 /// Each id that was seen and whose permit ends after `retention_horizon()` is
-/// still stored. So an id that isn't stored either never ran (its permit ends
-/// after the horizon) or was evicted. The horizon is never in the future, so no
-/// id is evicted while its permit still lets it run.
+/// still stored. So an id that isn't stored never ran if its permit ends after
+/// the horizon, and may have been evicted otherwise. The horizon is never in
+/// the future, so no id is evicted while its permit still allows a run.
 class attempt_registry {
  public:
   explicit attempt_registry(attempt_registry_settings settings);
 
   /// Returns whether an attempt may begin, without recording it.
   ///
-  /// \return ok, attempt_seen, attempt_tombstoned, permit_ended, bad_header
-  /// (the
-  ///   permit ends too far in the future) or server_busy (the registry is full
-  ///   of attempts that run or whose permits haven't ended).
+  /// \return ok, attempt_seen, attempt_tombstoned, permit_ended, bad_header if
+  ///   the permit ends too far in the future, or server_busy if the registry is
+  ///   full of attempts that run or whose permits haven't ended.
   admission_decision check(const attempt_id& id, time_point permit_end,
                            time_point now) const;
 
@@ -64,8 +63,8 @@
 
   /// Records the end of a running attempt; other ids are ignored.
   ///
-  /// \param whole True if the backend server sent the complete response.
-  void end(const attempt_id& id, bool whole);
+  /// \param is_complete True if the backend server sent the complete response.
+  void end(const attempt_id& id, bool is_complete);
 
   /// Returns the state of an attempt. `never_ran` holds only at the moment of
   /// the call; `tombstone` makes it permanent.
@@ -81,7 +80,7 @@
   void remove_expired(time_point now);
 
   /// Returns the permit end up to which ids may have been evicted.
-  time_point retention_horizon() const { return this->forgotten_until; }
+  time_point retention_horizon() const { return this->evicted_until; }
   /// Returns the number of stored ids.
   std::size_t size() const { return this->entries.size(); }
 
@@ -97,7 +96,7 @@
   void evict_oldest();
 
   attempt_registry_settings settings;
-  time_point forgotten_until = time_point::min();
+  time_point evicted_until = time_point::min();
   std::unordered_map<attempt_id, entry> entries;
   /// Ids that aren't running, ordered by the end of their permits.
   std::set<std::pair<time_point, attempt_id>> not_running;
--- a/src/decide/attempt_result.hpp
+++ b/src/decide/attempt_result.hpp
@@ -15,7 +15,6 @@
   not_sent,
   /// The attempt was sent, and the response is incomplete.
   interrupted,
-  /// The caller disconnected.
   caller_disconnected,
 };
 
--- a/src/decide/backoff.cpp
+++ b/src/decide/backoff.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Returns min(cap, base * 2^attempt) without overflow.
-milliseconds bound_of(std::uint32_t attempt, milliseconds base,
-                      milliseconds cap) {
+milliseconds backoff_bound(std::uint32_t attempt, milliseconds base,
+                           milliseconds cap) {
   milliseconds bound = std::min(base, cap);
   for (std::uint32_t i = 0; i < attempt && bound < cap; ++i) {
     if (bound <= milliseconds{0}) break;
@@ -21,9 +21,10 @@
 
 milliseconds backoff(std::uint32_t attempt, milliseconds base, milliseconds cap,
                      std::uint64_t random_bits) {
-  const milliseconds bound = bound_of(attempt, base, cap);
-  const std::uint64_t choices = static_cast<std::uint64_t>(bound.count()) + 1;
-  return milliseconds{static_cast<std::int64_t>(random_bits % choices)};
+  const milliseconds bound = backoff_bound(attempt, base, cap);
+  const std::uint64_t value_count =
+      static_cast<std::uint64_t>(bound.count()) + 1;
+  return milliseconds{static_cast<std::int64_t>(random_bits % value_count)};
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/crash_attribution.cpp
+++ b/src/decide/crash_attribution.cpp
@@ -20,29 +20,30 @@
 std::vector<std::string> crash_attribution::on_crash(
     const std::vector<std::string>& in_flight, time_point now) {
   const std::set<std::string> present(in_flight.begin(), in_flight.end());
-  std::set<std::string> struck;
+  std::set<std::string> implicated;
   for (const std::string& fingerprint : present) {
-    if (this->is_implicated(fingerprint, now)) struck.insert(fingerprint);
+    if (this->is_implicated(fingerprint, now)) implicated.insert(fingerprint);
   }
   // Two implicated requests can run on one server if their homes, which don't
   // share their crash counts, choose the same one, or if a copy of one was in
   // flight before it was implicated. Such a crash doesn't show which of them
   // caused it. It is counted for neither, since quarantining both would refuse
   // a harmless request, and they run apart again.
-  const bool tells_who = struck.size() == 1;
-  std::vector<std::string> guilty;
+  const bool identifies_cause = implicated.size() == 1;
+  std::vector<std::string> newly_quarantined;
   for (const std::string& fingerprint : present) {
     const entry* known = this->find(fingerprint, now);
     if (known != nullptr && known->is_quarantined) continue;
-    const bool was_struck = struck.contains(fingerprint);
-    if (was_struck && !tells_who) continue;
-    const std::uint32_t count = was_struck ? known->crash_count + 1 : 1;
-    const bool is_guilty = was_struck && count >= this->settings.crash_limit;
-    this->entries[fingerprint] = {count, is_guilty, now};
-    if (is_guilty) guilty.push_back(fingerprint);
+    const bool was_implicated = implicated.contains(fingerprint);
+    if (was_implicated && !identifies_cause) continue;
+    const std::uint32_t count = was_implicated ? known->crash_count + 1 : 1;
+    const bool reaches_limit =
+        was_implicated && count >= this->settings.crash_limit;
+    this->entries[fingerprint] = {count, reaches_limit, now};
+    if (reaches_limit) newly_quarantined.push_back(fingerprint);
   }
   this->evict_excess(now);
-  return guilty;
+  return newly_quarantined;
 }
 
 void crash_attribution::on_completed(const std::string& fingerprint) {
@@ -54,26 +55,26 @@
 void crash_attribution::quarantine(const std::string& fingerprint,
                                    time_point now) {
   const entry* known = this->find(fingerprint, now);
-  // Peers repeat a quarantine with each heartbeat. The first time is kept so
-  // that it expires; otherwise two routers would renew it for each other
-  // forever.
+  // Peers report a quarantine with each heartbeat. The time of the first report
+  // is kept so that it expires; otherwise two routers would renew it for each
+  // other forever.
   if (known != nullptr && known->is_quarantined) return;
   this->entries[fingerprint] = {this->settings.crash_limit, true, now};
   this->evict_excess(now);
 }
 
 std::vector<std::string> crash_attribution::recent_quarantines(
-    std::size_t most) const {
+    std::size_t max_count) const {
   std::vector<std::pair<time_point, std::string>> found;
   for (const auto& [fingerprint, known] : this->entries) {
     if (known.is_quarantined)
       found.emplace_back(known.recorded_at, fingerprint);
   }
   std::sort(found.begin(), found.end(), std::greater{});
-  if (found.size() > most) found.resize(most);
+  if (found.size() > max_count) found.resize(max_count);
   std::vector<std::string> latest;
   latest.reserve(found.size());
-  for (auto& [at, fingerprint] : found) {
+  for (auto& [recorded_at, fingerprint] : found) {
     latest.push_back(std::move(fingerprint));
   }
   return latest;
@@ -106,7 +107,7 @@
   // implicated one is most likely harmless. So implicated requests are evicted
   // first, the oldest before the others.
   while (this->entries.size() > this->settings.capacity) {
-    const auto worth_least =
+    const auto first_to_evict =
         std::min_element(this->entries.begin(), this->entries.end(),
                          [](const auto& left, const auto& right) {
                            return std::pair{left.second.is_quarantined,
@@ -114,7 +115,7 @@
                                   std::pair{right.second.is_quarantined,
                                             right.second.recorded_at};
                          });
-    this->entries.erase(worth_least);
+    this->entries.erase(first_to_evict);
   }
 }
 
--- a/src/decide/crash_attribution.hpp
+++ b/src/decide/crash_attribution.hpp
@@ -14,13 +14,14 @@
 
 namespace boragehill::decide {
 
-/// Finds the request that crashes backend servers (a poison request) and
-/// quarantines it, from the requests in flight at each crash.
+/// Identifies poison requests, which crash the backend servers that run them,
+/// from the requests in flight at each crash, and quarantines them.
 ///
 /// A crash implicates every fingerprint in flight. Implicated requests then run
 /// apart from each other, so the next crash has a single implicated request in
-/// flight, which is quarantined. If only one poison request is in flight, it is
-/// quarantined at its second crash, and no harmless request is.
+/// flight, which is quarantined. As long as at most one poison request is in
+/// flight at a time, it is quarantined at its second crash and no harmless
+/// request ever is.
 class crash_attribution {
  public:
   explicit crash_attribution(crash_attribution_settings settings);
@@ -32,8 +33,8 @@
   /// Records the crash of one backend server.
   ///
   /// \param in_flight All fingerprints in flight there, in any order.
-  /// \return The newly quarantined ones, which the caller of this function must
-  ///   write to the table and send to its peers.
+  /// \return The newly quarantined ones, to be written to the table and sent to
+  ///   the other routers.
   std::vector<std::string> on_crash(const std::vector<std::string>& in_flight,
                                     time_point now);
 
@@ -41,11 +42,11 @@
   /// isn't cleared.
   void on_completed(const std::string& fingerprint);
 
-  /// Adds a quarantine that was received from a peer or read from the table.
+  /// Adds a quarantine received from another router or read from the table.
   void quarantine(const std::string& fingerprint, time_point now);
 
-  /// Returns at most `most` quarantined fingerprints, the latest first.
-  std::vector<std::string> recent_quarantines(std::size_t most) const;
+  /// Returns at most `max_count` quarantined fingerprints, the latest first.
+  std::vector<std::string> recent_quarantines(std::size_t max_count) const;
 
   /// Returns the number of stored fingerprints.
   std::size_t size() const;
--- a/src/decide/crash_counter.cpp
+++ b/src/decide/crash_counter.cpp
@@ -10,9 +10,9 @@
   if (now - known.recorded_at > retention) known.crash_count = 0;
   ++known.crash_count;
   known.recorded_at = now;
-  const bool convicts = known.crash_count == crash_limit;
+  const bool reaches_limit = known.crash_count == crash_limit;
   this->evict_excess(now);
-  return convicts;
+  return reaches_limit;
 }
 
 void crash_counter::quarantine(const std::string& fingerprint, time_point now) {
@@ -47,8 +47,8 @@
 }
 
 void crash_counter::evict_excess(time_point now) {
-  std::erase_if(this->entries, [now](const auto& each) {
-    return now - each.second.recorded_at > retention;
+  std::erase_if(this->entries, [now](const auto& item) {
+    return now - item.second.recorded_at > retention;
   });
   // A request with few crashes is most likely harmless, so it is evicted first;
   // of equal counts the oldest.
--- a/src/decide/crash_counter.hpp
+++ b/src/decide/crash_counter.hpp
@@ -10,10 +10,10 @@
 
 namespace boragehill::decide {
 
-/// Counts interrupted runs per request and quarantines a request at
-/// `crash_limit`. A router counts its own, the planner those of all routers;
-/// see `crash_tracker`. `crash_attribution` instead isolates implicated
-/// requests.
+/// Counts interrupted runs per request and quarantines a request that reaches
+/// `crash_limit`. A router counts its own runs, the planner those of all
+/// routers, see `crash_tracker`. Unlike `crash_attribution`, it doesn't know
+/// which requests were in flight together.
 class crash_counter {
  public:
   /// Crashes after which a request is quarantined. A harmless request can be in
@@ -23,9 +23,8 @@
   /// since then, and one crash in ten minutes is tolerated.
   static constexpr milliseconds retention{600000};
 
-  /// \param most Maximum number of stored requests; quarantined ones are
-  /// evicted
-  ///   last.
+  /// \param max_requests Maximum number of stored requests; quarantined ones
+  ///   are evicted last.
   explicit crash_counter(std::size_t max_requests)
       : max_requests(max_requests) {}
 
--- a/src/decide/crash_tracker.hpp
+++ b/src/decide/crash_tracker.hpp
@@ -15,10 +15,10 @@
 
 /// One router's view of requests that crash backend servers.
 ///
-/// Without it, a caller that retries such a request at any router takes down
-/// one server after the other. Each interrupted run counts as a crash; the
-/// planner adds up the crashes of all routers and reports which requests to
-/// refuse.
+/// Without it, a caller that keeps retrying such a request through any router
+/// takes down one server after the other. Each interrupted run counts as a
+/// crash; the planner adds up the crashes at all routers and reports which
+/// requests to refuse.
 ///
 /// A harmless request is counted too if it was in flight at a crash or if its
 /// connection was cut. A recent complete response to the same request clears it
@@ -38,23 +38,23 @@
   /// Records a run with a complete response.
   void on_completed(const std::string& fingerprint);
 
-  /// Records that the planner quarantined a request, by the crashes of all
-  /// routers.
+  /// Records that the planner quarantined a request because of the crashes at
+  /// all routers.
   void on_quarantined(const std::string& fingerprint, time_point now);
 
-  /// \return True if the request must not run again.
+  /// \return True if the request must be refused.
   bool is_quarantined(const std::string& fingerprint, time_point now) const;
 
   /// \return The fingerprints of the crashes since the last call, one entry per
   ///   crash, to be sent to the planner.
   std::vector<std::string> take_crash_reports();
 
-  /// Reports the crashes of all quarantined requests once more, for a new
-  /// planner, which has no counts.
+  /// Adds the crashes of all quarantined requests to the next report once more,
+  /// for a new planner, which has no counts.
   void report_quarantined_again(time_point now);
 
  private:
-  crash_counter implicated{max_implicated};
+  crash_counter crash_counts{max_implicated};
   std::unordered_set<std::string> completed;
   std::deque<std::string> completed_by_age;
   std::vector<std::string> unreported;
--- a/src/decide/flow_request.hpp
+++ b/src/decide/flow_request.hpp
@@ -11,8 +11,9 @@
 
 /// The facts about one accepted request that `request_flow` decides on.
 struct flow_request {
-  /// The entry router's incarnation; the request's number there follows.
+  /// The entry router's incarnation.
   std::string incarnation;
+  /// The request's number at that incarnation.
   std::uint64_t sequence = 0;
   /// The entry router's control endpoint.
   endpoint entry;
--- a/src/decide/idempotency_claim.cpp
+++ b/src/decide/idempotency_claim.cpp
@@ -2,11 +2,11 @@
 
 namespace boragehill::decide {
 
-record_step evaluate_record(const std::optional<idempotency_record>& row,
+record_step evaluate_record(const std::optional<idempotency_record>& record,
                             std::string_view digest) {
-  if (!row) return claim_and_dispatch{};
-  if (row->digest != digest) return refuse_key_reuse{};
-  if (row->state == idempotency_state::completed)
+  if (!record) return claim_and_dispatch{};
+  if (record->digest != digest) return refuse_key_reuse{};
+  if (record->state == idempotency_state::completed)
     return return_stored_response{};
   return tombstone_attempt{};
 }
@@ -29,9 +29,9 @@
   return report_unknown_outcome{};
 }
 
-bool is_claimed_by(const std::optional<idempotency_record>& row,
+bool is_claimed_by(const std::optional<idempotency_record>& record,
                    std::string_view attempt) {
-  return row && row->attempt == attempt;
+  return record && record->attempt == attempt;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/idempotency_claim.hpp
+++ b/src/decide/idempotency_claim.hpp
@@ -13,9 +13,9 @@
 
 /// Returns the next step for a non-idempotent request with a key.
 ///
-/// \param row The idempotency record of its key; nothing if there is none.
+/// \param record The idempotency record of its key; nothing if there is none.
 /// \param digest The digest of the received request.
-record_step evaluate_record(const std::optional<idempotency_record>& row,
+record_step evaluate_record(const std::optional<idempotency_record>& record,
                             std::string_view digest);
 
 /// Returns the next step after the agent that holds the claim was queried.
@@ -24,9 +24,9 @@
 ///   nothing if the agent is lost or did not respond.
 claim_step evaluate_agent_status(std::optional<wire::attempt_status> status);
 
-/// Returns true if the record was claimed by the given attempt. Used to read
-/// back whether a write took effect whose response was lost.
-bool is_claimed_by(const std::optional<idempotency_record>& row,
+/// Returns true if the record was claimed by the given attempt. This shows
+/// whether a write took effect whose response was lost.
+bool is_claimed_by(const std::optional<idempotency_record>& record,
                    std::string_view attempt);
 
 }  // namespace boragehill::decide
--- a/src/decide/request_flow.cpp
+++ b/src/decide/request_flow.cpp
@@ -11,7 +11,7 @@
 
 /// Returns true for refusals after which the same server may accept the request
 /// a moment later, so it isn't excluded from further attempts.
-bool passes_soon(result_code code) {
+bool is_transient_refusal(result_code code) {
   return code == result_code::server_busy ||
          code == result_code::model_not_ready ||
          code == result_code::permit_ended;
@@ -19,35 +19,36 @@
 
 }  // namespace
 
-request_flow::request_flow(flow_request accepted, flow_limits flow_bounds,
-                           std::function<bool()> budget,
-                           std::function<std::uint64_t()> random)
-    : request(std::move(accepted)),
-      limits(flow_bounds),
-      take_retry(std::move(budget)),
-      random_bits(std::move(random)),
+request_flow::request_flow(flow_request request, flow_limits limits,
+                           std::function<bool()> take_retry,
+                           std::function<std::uint64_t()> random_bits)
+    : request(std::move(request)),
+      limits(limits),
+      take_retry(std::move(take_retry)),
+      random_bits(std::move(random_bits)),
       current_attempt{this->request.incarnation, this->request.sequence, 0} {}
 
 flow_step request_flow::begin(time_point now) {
   return this->start_next_attempt(now);
 }
 
-flow_step request_flow::on_permit(const wire::permit_answer& answer,
+flow_step request_flow::on_permit(const wire::permit_answer& response,
                                   time_point now) {
   if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
-  switch (answer.state) {
+  switch (response.state) {
     case wire::permit_state::queued:
       return await_permit{this->current_attempt, this->home_rank,
                           this->request.deadline};
     case wire::permit_state::not_home:
       return this->on_home_lost(now);
     case wire::permit_state::refused:
-      return this->refuse(static_cast<result_code>(answer.code),
-                          milliseconds(answer.retry_after_ms), answer.reason);
+      return this->refuse(static_cast<result_code>(response.code),
+                          milliseconds(response.retry_after_ms),
+                          response.reason);
     case wire::permit_state::granted:
       break;
   }
-  this->permit = answer;
+  this->permit = response;
   this->homes_lost = 0;
   if (this->request.has_idempotency_key)
     return write_claim{this->current_attempt, this->permit};
@@ -104,7 +105,7 @@
 }
 
 flow_step request_flow::on_attempt_refused(result_code code, time_point now) {
-  if (passes_soon(code)) return this->retry(false, code, now);
+  if (is_transient_refusal(code)) return this->retry(false, code, now);
   this->exclude_server();
   return this->retry(true, code, now);
 }
@@ -140,17 +141,17 @@
 }
 
 flow_step request_flow::on_attempt_status(
-    std::optional<wire::attempt_status> fate, time_point now) {
+    std::optional<wire::attempt_status> status, time_point now) {
   this->is_querying_status = false;
-  if (!fate) {
+  if (!status) {
     ++this->status_queries;
     const auto wait =
         backoff(this->status_queries, this->limits.backoff_base * 4,
                 this->limits.backoff_cap, this->random_bits());
-    const bool ask_again =
+    const bool may_query_again =
         this->status_queries < this->limits.max_status_queries &&
         now + wait + this->limits.status_query_timeout < this->request.deadline;
-    if (ask_again) {
+    if (may_query_again) {
       this->is_querying_status = true;
       return pause_until{now + wait};
     }
@@ -158,7 +159,7 @@
     return this->refuse(result_code::outcome_unknown, milliseconds{0},
                         "the agent that was sent it does not answer");
   }
-  switch (*fate) {
+  switch (*status) {
     case wire::attempt_status::never_ran:
       this->exclude_server();
       return this->retry(true, result_code::peer_unreachable, now);
@@ -181,9 +182,9 @@
                       "it was sent and its end is not known");
 }
 
-flow_step request_flow::on_stored_response(bool whole, time_point now) {
+flow_step request_flow::on_stored_response(bool is_complete, time_point now) {
   (void)now;
-  if (whole) return delivered{};
+  if (is_complete) return delivered{};
   this->may_have_run = true;
   return this->refuse(result_code::outcome_unknown, milliseconds{0},
                       "it ran and its answer could not be fetched");
@@ -208,7 +209,7 @@
 }
 
 flow_step request_flow::make_permit_request(time_point now) {
-  const auto left =
+  const auto time_left =
       std::chrono::duration_cast<milliseconds>(this->request.deadline - now);
   return request_permit{
       .rank = this->home_rank,
@@ -217,7 +218,7 @@
                   .target = this->request.target,
                   .adapter = this->request.adapter,
                   .profile = this->request.profile,
-                  .time_left_ms = left.count(),
+                  .time_left_ms = time_left.count(),
                   .priority = this->request.priority,
                   .fingerprint = this->request.fingerprint,
                   .non_idempotent = this->request.non_idempotent,
@@ -226,17 +227,18 @@
                   .passed_on = this->home_rank > 0}};
 }
 
-flow_step request_flow::retry(bool charged, result_code code, time_point now) {
+flow_step request_flow::retry(bool is_counted, result_code code,
+                              time_point now) {
   // A transient refusal isn't counted: a server that other homes also use may
   // refuse one request many times within its deadline, which only the backoff
   // and the deadline bound. When they were counted, callers got `server_busy`
   // with most of their time left.
-  if (charged) ++this->failed_attempts;
+  if (is_counted) ++this->failed_attempts;
   if (this->failed_attempts >= this->limits.max_attempts) {
     return this->refuse(code, this->limits.default_retry_after,
                         "no attempt succeeded");
   }
-  if (charged && !this->take_retry()) {
+  if (is_counted && !this->take_retry()) {
     return this->refuse(result_code::retry_budget_spent,
                         this->limits.default_retry_after,
                         "too many requests are being retried");
--- a/src/decide/request_flow.hpp
+++ b/src/decide/request_flow.hpp
@@ -43,9 +43,10 @@
 
   /// Handles a home's response: immediate, or for a queued request that is now
   /// granted or refused.
-  flow_step on_permit(const wire::permit_answer& answer, time_point now);
+  flow_step on_permit(const wire::permit_answer& response, time_point now);
 
-  /// Handles that the home in charge is unreachable or has lost the request.
+  /// Handles that the current home is unreachable or no longer knows the
+  /// request.
   flow_step on_home_lost(time_point now);
 
   /// Handles the result of writing an idempotency claim.
@@ -56,15 +57,17 @@
   /// Handles the result of a dispatched attempt.
   flow_step on_attempt(const attempt_result& result, time_point now);
 
-  /// Handles the status that the agent reported for an attempt; nothing if it
-  /// did not respond.
-  flow_step on_attempt_status(std::optional<wire::attempt_status> fate,
+  /// Handles the response to a status query.
+  ///
+  /// \param status The status that the agent reported for the attempt; nothing
+  ///   if the agent did not respond.
+  flow_step on_attempt_status(std::optional<wire::attempt_status> status,
                               time_point now);
 
   /// Handles the result of fetching a stored response.
   ///
-  /// \param whole True if the complete response was fetched.
-  flow_step on_stored_response(bool whole, time_point now);
+  /// \param is_complete True if the complete response was fetched.
+  flow_step on_stored_response(bool is_complete, time_point now);
 
   /// Handles that the caller disconnected before an attempt was sent.
   flow_step on_caller_disconnected() const;
@@ -80,7 +83,7 @@
  private:
   flow_step make_permit_request(time_point now);
   flow_step start_next_attempt(time_point now);
-  flow_step retry(bool charged, result_code code, time_point now);
+  flow_step retry(bool is_counted, result_code code, time_point now);
   flow_step refuse(result_code code, milliseconds retry_after,
                    std::string reason) const;
   flow_step refuse_deadline_passed(time_point now) const;
@@ -97,12 +100,12 @@
   wire::permit_answer permit;
   std::size_t home_rank = 0;
   std::size_t homes_lost = 0;
-  /// Failed attempts, without refusals that are transient.
+  /// Failed attempts without transient refusals.
   std::uint32_t failed_attempts = 0;
   std::uint32_t server_crashes = 0;
   std::uint32_t status_queries = 0;
   std::vector<std::string> excluded_servers;
-  /// True once an attempt may have run whose response was not received.
+  /// True once an attempt may have run whose response wasn't received.
   bool may_have_run = false;
   bool is_querying_status = false;
 };
--- a/src/decide/retry_token_bucket.hpp
+++ b/src/decide/retry_token_bucket.hpp
@@ -4,14 +4,15 @@
 namespace boragehill::decide {
 
 /// Token bucket that bounds one router's retries to a share of its first
-/// attempts. `windowed_retry_budget` bounds all routers together.
+/// attempts. `windowed_retry_budget` bounds the retries of all routers
+/// together.
 ///
 /// Without it, a fault that fails every attempt multiplies the load when there
 /// is least capacity.
 class retry_token_bucket {
  public:
-  /// \param share Tokens that each first attempt adds, such as 0.1.
-  /// \param burst Capacity of the bucket in tokens; it starts full.
+  /// \param tokens_per_attempt Tokens added by each first attempt, such as 0.1.
+  /// \param max_tokens Capacity of the bucket in tokens; it starts full.
   retry_token_bucket(double tokens_per_attempt, double max_tokens);
 
   /// Adds the tokens of one first attempt.
--- a/src/decide/windowed_retry_budget.cpp
+++ b/src/decide/windowed_retry_budget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-void drop_before(std::deque<time_point>& times, time_point limit) {
-  while (!times.empty() && times.front() < limit) times.pop_front();
+void drop_before(std::deque<time_point>& times, time_point window_start) {
+  while (!times.empty() && times.front() < window_start) times.pop_front();
 }
 
 }  // namespace
@@ -25,18 +25,18 @@
 
 double windowed_retry_budget::retries_left(time_point now, int routers) {
   this->drop_expired(now);
-  const double by_ratio = this->settings.retries_per_request *
-                          static_cast<double>(this->requests.size());
+  const double proportional = this->settings.retries_per_request *
+                              static_cast<double>(this->requests.size());
   const double constant =
       this->settings.constant_retries / std::max(routers, 1);
-  return used_fraction * (by_ratio + constant) -
+  return used_fraction * (proportional + constant) -
          static_cast<double>(this->retries.size());
 }
 
 void windowed_retry_budget::drop_expired(time_point now) {
-  const time_point limit = now - this->settings.window;
-  drop_before(this->requests, limit);
-  drop_before(this->retries, limit);
+  const time_point window_start = now - this->settings.window;
+  drop_before(this->requests, window_start);
+  drop_before(this->retries, window_start);
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/windowed_retry_budget.hpp
+++ b/src/decide/windowed_retry_budget.hpp
@@ -10,13 +10,14 @@
 namespace boragehill::decide {
 
 /// Sliding-window retry budget: one router's share of the retries that a
-/// service may get in any window. `retry_token_bucket` bounds one router alone.
+/// service may get in any window. Unlike `retry_token_bucket`, it bounds the
+/// retries of all routers together.
 ///
 /// Without a bound, a fault that fails every attempt multiplies the load when
 /// there is least capacity. Routers share the bound without communicating: the
 /// proportional part follows a router's own traffic, the constant part is
 /// divided by the number of routers, and only `used_fraction` of the sum is
-/// used, since the windows of the routers aren't aligned.
+/// used, because the windows of the routers aren't aligned.
 class windowed_retry_budget {
  public:
   /// The fraction of the bound that is used.
--- a/test/decide-test/attempt_history_test.cpp
+++ b/test/decide-test/attempt_history_test.cpp
@@ -7,7 +7,7 @@
 
 using fleet::repeat_rule;
 
-TEST(send_record_test, sends_an_order_again_only_while_it_surely_did_not_run) {
+TEST(attempt_history_test, retries_non_idempotent_request_only_if_not_run) {
   // Guards against running a non-idempotent request twice: the first worker
   // refuses it as full, the response of the second is interrupted. A third
   // attempt could be a second run.
@@ -25,7 +25,7 @@
   EXPECT_FALSE(order.is_known_not_run());
 }
 
-TEST(send_record_test, repeats_an_idempotent_request_within_its_attempts) {
+TEST(attempt_history_test, limits_the_runs_of_an_idempotent_request) {
   attempt_history lookup(repeat_rule::idempotent, false, 2);
   lookup.on_attempt("a");
   lookup.on_possible_run();
@@ -35,7 +35,7 @@
   EXPECT_FALSE(lookup.may_attempt());
 }
 
-TEST(send_record_test, repeats_a_failure_only_of_what_may_be_repeated) {
+TEST(attempt_history_test, retries_a_failure_only_of_idempotent_requests) {
   attempt_history lookup(repeat_rule::idempotent, false, 2);
   lookup.on_attempt("a");
   EXPECT_TRUE(lookup.may_retry_failure());
@@ -49,26 +49,26 @@
   }
 }
 
-TEST(send_record_test, moves_only_what_may_be_repeated) {
+TEST(attempt_history_test, reassigns_only_requests_that_may_run_again) {
   // Guards against a second run of a request that may run only once.
   attempt_history order(repeat_rule::once, false, 3);
   attempt_history stream(repeat_rule::stream, false, 3);
-  for (auto* each : {&order, &stream}) {
-    each->on_attempt("a");
-    EXPECT_FALSE(each->may_reassign());
+  for (auto* request : {&order, &stream}) {
+    request->on_attempt("a");
+    EXPECT_FALSE(request->may_reassign());
   }
   attempt_history lookup(repeat_rule::idempotent, false, 2);
   attempt_history resumable(repeat_rule::stream, true, 2);
-  for (auto* each : {&lookup, &resumable}) {
-    each->on_attempt("a");
-    EXPECT_TRUE(each->may_reassign());
-    each->on_possible_run();
-    each->on_attempt("b");
-    EXPECT_FALSE(each->may_reassign());
+  for (auto* request : {&lookup, &resumable}) {
+    request->on_attempt("a");
+    EXPECT_TRUE(request->may_reassign());
+    request->on_possible_run();
+    request->on_attempt("b");
+    EXPECT_FALSE(request->may_reassign());
   }
 }
 
-TEST(send_record_test, resumes_only_streams_that_may_be) {
+TEST(attempt_history_test, resumes_only_resumable_streams) {
   for (const bool resumable : {false, true}) {
     attempt_history stream(repeat_rule::stream, resumable, 2);
     stream.on_attempt("a");
@@ -77,7 +77,7 @@
   }
 }
 
-TEST(send_record_test, asks_the_only_server_again_that_broke_a_stream_off) {
+TEST(attempt_history_test, retries_the_server_that_interrupted_a_stream) {
   // Only one worker has the model, and its response to a resumable stream is
   // interrupted. When that worker was excluded as tried, the caller waited 16 s
   // for another one and was refused.
@@ -92,29 +92,29 @@
   EXPECT_FALSE(review.may_attempt());
 }
 
-TEST(send_record_test, leaves_a_server_out_that_broke_a_lookup_off) {
+TEST(attempt_history_test, excludes_a_server_that_interrupted_a_lookup) {
   attempt_history lookup(repeat_rule::idempotent, false, 2);
   lookup.on_attempt("a");
   lookup.on_possible_run();
   EXPECT_TRUE(lookup.has_tried("a"));
 }
 
-TEST(send_record_test, asks_a_server_again_that_only_lacked_the_model) {
+TEST(attempt_history_test, retries_a_server_that_may_be_tried_again) {
   attempt_history stream(repeat_rule::stream, false, 1);
   stream.on_attempt("a");
   stream.on_not_run(true);
   EXPECT_FALSE(stream.has_tried("a"));
 }
 
-TEST(send_record_test, gives_up_after_many_refusals) {
+TEST(attempt_history_test, stops_after_six_refusals) {
   attempt_history lookup(repeat_rule::idempotent, false, 2);
-  int sends = 0;
-  while (lookup.may_attempt() && sends < 100) {
+  int attempts = 0;
+  while (lookup.may_attempt() && attempts < 100) {
     lookup.on_attempt("a");
     lookup.on_not_run(true);
-    ++sends;
+    ++attempts;
   }
-  EXPECT_EQ(sends, 6);
+  EXPECT_EQ(attempts, 6);
 }
 
 }  // namespace
--- a/test/decide-test/attempt_registry_test.cpp
+++ b/test/decide-test/attempt_registry_test.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr milliseconds second{1000};
-constexpr attempt_registry_settings small{.retention = 10 * second,
-                                          .max_attempts = 8};
+constexpr attempt_registry_settings small_settings{.retention = 10 * second,
+                                                   .max_attempts = 8};
 constexpr std::uint64_t own_fence = 3;
 
 time_point at(milliseconds time) {
@@ -27,22 +27,22 @@
   return {"r1-aa", sequence, 1};
 }
 
-TEST(attempt_memory_test, lets_an_attempt_begin_once) {
-  attempt_registry memory(small);
-  EXPECT_EQ(memory.begin(id_of(1), at(second), at({})).code, result_code::ok);
-  const auto again = memory.begin(id_of(1), at(second), at({}));
-  EXPECT_EQ(again.code, result_code::attempt_seen);
-  EXPECT_EQ(again.ran, ran_state::unknown);
+TEST(attempt_registry_test, begins_an_attempt_only_once) {
+  attempt_registry registry(small_settings);
+  EXPECT_EQ(registry.begin(id_of(1), at(second), at({})).code, result_code::ok);
+  const auto duplicate = registry.begin(id_of(1), at(second), at({}));
+  EXPECT_EQ(duplicate.code, result_code::attempt_seen);
+  EXPECT_EQ(duplicate.ran, ran_state::unknown);
 }
 
 // A router queries an attempt, gets `never_ran` and reports "not run" to its
 // caller; the attempt was delayed in the network, arrives later and must not
 // run then.
-TEST(attempt_memory_test, a_tombstoned_attempt_never_begins) {
-  attempt_registry memory(small);
-  EXPECT_EQ(memory.tombstone(id_of(1), at(second), at({})),
+TEST(attempt_registry_test, refuses_a_tombstoned_attempt) {
+  attempt_registry registry(small_settings);
+  EXPECT_EQ(registry.tombstone(id_of(1), at(second), at({})),
             attempt_state::never_ran);
-  const auto late = memory.begin(id_of(1), at(second), at({}));
+  const auto late = registry.begin(id_of(1), at(second), at({}));
   EXPECT_EQ(late.code, result_code::attempt_tombstoned);
   EXPECT_EQ(late.ran, ran_state::no);
 }
@@ -50,87 +50,88 @@
 // A router is paused between its permit and its dispatch. When it continues,
 // the agent has removed the tombstone that another router set in the meantime.
 // The attempt must not run, however long the pause was.
-TEST(attempt_memory_test, refuses_an_attempt_after_its_permit_ended) {
-  attempt_registry memory(small);
-  memory.tombstone(id_of(1), at(second), at({}));
-  memory.remove_expired(at(100 * second));
-  EXPECT_EQ(memory.size(), 0U);
-  EXPECT_EQ(memory.begin(id_of(1), at(second), at(100 * second)).code,
+TEST(attempt_registry_test, refuses_an_attempt_after_its_permit_ended) {
+  attempt_registry registry(small_settings);
+  registry.tombstone(id_of(1), at(second), at({}));
+  registry.remove_expired(at(100 * second));
+  EXPECT_EQ(registry.size(), 0U);
+  EXPECT_EQ(registry.begin(id_of(1), at(second), at(100 * second)).code,
             result_code::permit_ended);
 }
 
-TEST(attempt_memory_test, says_forgotten_only_below_its_horizon) {
-  attempt_registry memory(small);
-  memory.begin(id_of(1), at(second), at({}));
-  memory.end(id_of(1), true);
-  EXPECT_EQ(memory.state_of(id_of(2), at(second)), attempt_state::never_ran);
-  memory.remove_expired(at(60 * second));
-  EXPECT_EQ(memory.state_of(id_of(1), at(second)), attempt_state::forgotten);
-  EXPECT_EQ(memory.state_of(id_of(2), at(2 * second)),
+TEST(attempt_registry_test,
+     reports_forgotten_only_up_to_the_retention_horizon) {
+  attempt_registry registry(small_settings);
+  registry.begin(id_of(1), at(second), at({}));
+  registry.end(id_of(1), true);
+  EXPECT_EQ(registry.state_of(id_of(2), at(second)), attempt_state::never_ran);
+  registry.remove_expired(at(60 * second));
+  EXPECT_EQ(registry.state_of(id_of(1), at(second)), attempt_state::forgotten);
+  EXPECT_EQ(registry.state_of(id_of(2), at(2 * second)),
             attempt_state::never_ran);
 }
 
-TEST(attempt_memory_test, never_forgets_an_attempt_that_runs) {
-  attempt_registry memory(small);
-  memory.begin(id_of(1), at(second), at({}));
-  memory.remove_expired(at(100 * second));
-  EXPECT_EQ(memory.state_of(id_of(1), at(second)), attempt_state::running);
+TEST(attempt_registry_test, keeps_a_running_attempt) {
+  attempt_registry registry(small_settings);
+  registry.begin(id_of(1), at(second), at({}));
+  registry.remove_expired(at(100 * second));
+  EXPECT_EQ(registry.state_of(id_of(1), at(second)), attempt_state::running);
 }
 
-TEST(attempt_memory_test, full_of_live_permits_it_refuses_and_forgets_none) {
-  attempt_registry memory(small);
-  for (std::uint64_t i = 0; i < small.max_attempts; ++i) {
-    memory.begin(id_of(i), at(second), at({}));
-    memory.end(id_of(i), true);
+TEST(attempt_registry_test, refuses_if_full_of_attempts_with_valid_permits) {
+  attempt_registry registry(small_settings);
+  for (std::uint64_t i = 0; i < small_settings.max_attempts; ++i) {
+    registry.begin(id_of(i), at(second), at({}));
+    registry.end(id_of(i), true);
   }
-  EXPECT_EQ(memory.begin(id_of(100), at(second), at({})).code,
+  EXPECT_EQ(registry.begin(id_of(100), at(second), at({})).code,
             result_code::server_busy);
-  EXPECT_EQ(memory.begin(id_of(100), at(9 * second), at(2 * second)).code,
+  EXPECT_EQ(registry.begin(id_of(100), at(9 * second), at(2 * second)).code,
             result_code::ok);
-  EXPECT_EQ(memory.size(), small.max_attempts);
-  EXPECT_EQ(memory.retention_horizon(), at(second));
+  EXPECT_EQ(registry.size(), small_settings.max_attempts);
+  EXPECT_EQ(registry.retention_horizon(), at(second));
 }
 
-TEST(admission_test, refuses_in_the_order_of_what_is_certain) {
-  admission door(small);
+TEST(admission_test, returns_the_reason_of_each_refusal) {
+  admission gate(small_settings);
   const attempt_offer offer{id_of(1), own_fence, at(second)};
-  EXPECT_EQ(door.decide(offer, result_code::ok, at({})).code,
+  EXPECT_EQ(gate.decide(offer, result_code::ok, at({})).code,
             result_code::wrong_incarnation);
-  door.set_fencing_number(own_fence);
-  EXPECT_EQ(door.decide(offer, result_code::ok, at({})).code,
+  gate.set_fencing_number(own_fence);
+  EXPECT_EQ(gate.decide(offer, result_code::ok, at({})).code,
             result_code::server_busy);
-  door.set_slots(1);
-  EXPECT_EQ(door.decide(offer, result_code::model_not_ready, at({})).code,
+  gate.set_slots(1);
+  EXPECT_EQ(gate.decide(offer, result_code::model_not_ready, at({})).code,
             result_code::model_not_ready);
-  EXPECT_EQ(door.decide(offer, result_code::ok, at({})).code, result_code::ok);
-  door.drain();
+  EXPECT_EQ(gate.decide(offer, result_code::ok, at({})).code, result_code::ok);
+  gate.drain();
   EXPECT_EQ(
-      door.decide({id_of(2), own_fence, at(second)}, result_code::ok, at({})),
+      gate.decide({id_of(2), own_fence, at(second)}, result_code::ok, at({})),
       (admission_decision{result_code::draining, ran_state::no}));
-  door.end(id_of(1), true);
-  door.end(id_of(1), true);
-  EXPECT_EQ(door.running(), 0U);
+  gate.end(id_of(1), true);
+  gate.end(id_of(1), true);
+  EXPECT_EQ(gate.running(), 0U);
 }
 
-TEST(admission_test, knows_nothing_of_another_incarnations_attempts) {
-  admission door(small);
-  door.set_fencing_number(own_fence);
+TEST(admission_test, reports_forgotten_for_another_incarnation) {
+  admission gate(small_settings);
+  gate.set_fencing_number(own_fence);
   const attempt_offer old{id_of(1), own_fence - 1, at(second)};
-  EXPECT_EQ(door.tombstone(old, at({})), attempt_state::forgotten);
-  EXPECT_EQ(door.state_of(old), attempt_state::forgotten);
+  EXPECT_EQ(gate.tombstone(old, at({})), attempt_state::forgotten);
+  EXPECT_EQ(gate.state_of(old), attempt_state::forgotten);
 }
 
 /// What ran, and which attempts were reported as `never_ran`, in a random
 /// sequence of offers, duplicates, tombstones and pauses.
-struct history {
+struct run_log {
   std::map<std::string, int> runs;
-  std::set<std::string> promised;
+  std::set<std::string> reported_never_ran;
 };
 
-template <class Decision>
-history play(Decision& door, std::uint32_t seed) {
+template <class Admission>
+run_log run_random_steps(Admission& gate, std::uint32_t seed) {
   std::mt19937_64 random(seed);
-  history past;
+  run_log log;
   std::map<std::uint64_t, time_point> permits;
   time_point now{};
   std::vector<attempt_offer> running;
@@ -140,34 +141,34 @@
     const auto permit =
         permits.try_emplace(sequence, now + milliseconds(random() % 6000));
     const attempt_offer offer{id_of(sequence), own_fence, permit.first->second};
-    const std::string name = offer.id.to_string();
+    const std::string id = offer.id.to_string();
     switch (random() % 4) {
       case 0:
       case 1: {
-        const auto verdict = door.decide(offer, result_code::ok, now);
-        if (verdict.code != result_code::ok) break;
-        ++past.runs[name];
+        const auto decision = gate.decide(offer, result_code::ok, now);
+        if (decision.code != result_code::ok) break;
+        ++log.runs[id];
         running.push_back(offer);
         break;
       }
       case 2:
-        if (door.tombstone(offer, now) == attempt_state::never_ran) {
-          past.promised.insert(name);
+        if (gate.tombstone(offer, now) == attempt_state::never_ran) {
+          log.reported_never_ran.insert(id);
         }
         break;
       default:
-        door.remove_expired(now);
+        gate.remove_expired(now);
         if (running.empty()) break;
-        door.end(running.back().id, random() % 2 == 0);
+        gate.end(running.back().id, random() % 2 == 0);
         running.pop_back();
     }
   }
-  return past;
+  return log;
 }
 
 /// Faulty implementation that removes an attempt when it ends, not after the
 /// end of its permit.
-class forgetful_admission {
+class faulty_admission {
  public:
   admission_decision decide(const attempt_offer& offer, result_code,
                             time_point) {
@@ -189,24 +190,26 @@
 
 class attempts_property_test : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(attempts_property_test, runs_once_and_keeps_its_promises) {
-  admission door(small);
-  door.set_fencing_number(own_fence);
-  door.set_slots(4);
-  const history past = play(door, this->GetParam());
-  EXPECT_GT(past.runs.size(), 0U);
-  EXPECT_TRUE(invariants::attempt_runs_at_most_once(past.runs));
-  EXPECT_TRUE(invariants::never_ran_stays_true(past.promised, past.runs));
+TEST_P(attempts_property_test, runs_once_and_not_after_reporting_never_ran) {
+  admission gate(small_settings);
+  gate.set_fencing_number(own_fence);
+  gate.set_slots(4);
+  const run_log log = run_random_steps(gate, this->GetParam());
+  EXPECT_GT(log.runs.size(), 0U);
+  EXPECT_TRUE(invariants::attempt_runs_at_most_once(log.runs));
+  EXPECT_TRUE(
+      invariants::never_ran_stays_true(log.reported_never_ran, log.runs));
 }
 
 INSTANTIATE_TEST_SUITE_P(seeds, attempts_property_test,
                          testing::Range(1U, 201U));
 
-TEST(attempts_checker_test, fires_on_a_decision_that_forgets_too_early) {
-  forgetful_admission door;
-  const history past = play(door, 1);
-  EXPECT_FALSE(invariants::attempt_runs_at_most_once(past.runs));
-  EXPECT_FALSE(invariants::never_ran_stays_true(past.promised, past.runs));
+TEST(attempts_checker_test, detects_an_admission_that_forgets_too_early) {
+  faulty_admission gate;
+  const run_log log = run_random_steps(gate, 1);
+  EXPECT_FALSE(invariants::attempt_runs_at_most_once(log.runs));
+  EXPECT_FALSE(
+      invariants::never_ran_stays_true(log.reported_never_ran, log.runs));
 }
 
 }  // namespace
--- a/test/decide-test/backoff_test.cpp
+++ b/test/decide-test/backoff_test.cpp
@@ -23,7 +23,7 @@
   RC_ASSERT(wait <= bound);
 }
 
-TEST(backoff_test, reaches_both_ends) {
+TEST(backoff_test, reaches_both_bounds) {
   const milliseconds base{100};
   const milliseconds cap{1000};
   EXPECT_EQ(backoff(1, base, cap, 0), milliseconds{0});
@@ -32,10 +32,11 @@
 }
 
 TEST(backoff_test, does_not_overflow_at_high_attempts) {
-  constexpr auto most = std::numeric_limits<std::uint32_t>::max();
-  EXPECT_LE(backoff(most, milliseconds{100}, milliseconds::max() / 4, all_bits),
+  constexpr auto max_attempt = std::numeric_limits<std::uint32_t>::max();
+  EXPECT_LE(backoff(max_attempt, milliseconds{100}, milliseconds::max() / 4,
+                    all_bits),
             milliseconds::max() / 4);
-  EXPECT_EQ(backoff(most, milliseconds{0}, milliseconds{50}, all_bits),
+  EXPECT_EQ(backoff(max_attempt, milliseconds{0}, milliseconds{50}, all_bits),
             milliseconds{0});
 }
 
--- a/test/decide-test/crash_attribution_test.cpp
+++ b/test/decide-test/crash_attribution_test.cpp
@@ -17,77 +17,87 @@
 
 const time_point start{milliseconds{1000}};
 
-crash_attribution book_of(std::size_t capacity) {
+crash_attribution make_attribution(std::size_t capacity) {
   return crash_attribution(
       {.capacity = capacity, .retention = milliseconds{1000}});
 }
 
-TEST(strikes_test, convicts_the_struck_one_at_the_second_crash) {
-  crash_attribution book = book_of(100);
-  EXPECT_TRUE(book.on_crash({"poison", "quote"}, start).empty());
-  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_isolated{}});
-  const std::vector<std::string> guilty{"poison"};
-  EXPECT_EQ(book.on_crash({"poison", "reading"}, start), guilty);
-  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
-  EXPECT_EQ(book.evaluate("reading", start),
+TEST(crash_attribution_test,
+     quarantines_the_implicated_one_at_the_second_crash) {
+  crash_attribution attribution = make_attribution(100);
+  EXPECT_TRUE(attribution.on_crash({"poison", "quote"}, start).empty());
+  EXPECT_EQ(attribution.evaluate("quote", start),
             isolation_decision{run_isolated{}});
-  EXPECT_TRUE(book.on_crash({"poison"}, start).empty());
+  const std::vector<std::string> expected{"poison"};
+  EXPECT_EQ(attribution.on_crash({"poison", "reading"}, start), expected);
+  EXPECT_EQ(attribution.evaluate("poison", start),
+            isolation_decision{quarantined{}});
+  EXPECT_EQ(attribution.evaluate("reading", start),
+            isolation_decision{run_isolated{}});
+  EXPECT_TRUE(attribution.on_crash({"poison"}, start).empty());
 }
 
-TEST(strikes_test, convicts_nobody_when_two_struck_ones_met) {
+TEST(crash_attribution_test,
+     quarantines_none_if_two_implicated_ones_were_in_flight) {
   // Guards against quarantining a harmless request: it was in flight at a crash
   // together with the poison request, both were retried, and two homes that
   // don't share their crash counts chose the same server for them.
-  crash_attribution book = book_of(100);
-  book.on_crash({"poison", "quote"}, start);
-  EXPECT_TRUE(book.on_crash({"poison", "quote"}, start).empty());
-  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_isolated{}});
-  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{run_isolated{}});
+  crash_attribution attribution = make_attribution(100);
+  attribution.on_crash({"poison", "quote"}, start);
+  EXPECT_TRUE(attribution.on_crash({"poison", "quote"}, start).empty());
+  EXPECT_EQ(attribution.evaluate("quote", start),
+            isolation_decision{run_isolated{}});
+  EXPECT_EQ(attribution.evaluate("poison", start),
+            isolation_decision{run_isolated{}});
 }
 
-TEST(strikes_test, clears_strikes_but_no_conviction_on_success) {
-  crash_attribution book = book_of(100);
-  book.on_crash({"quote"}, start);
-  book.on_completed("quote");
-  EXPECT_EQ(book.evaluate("quote", start), isolation_decision{run_normally{}});
-  book.quarantine("poison", start);
-  book.on_completed("poison");
-  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
+TEST(crash_attribution_test, clears_crashes_but_no_quarantine_on_completion) {
+  crash_attribution attribution = make_attribution(100);
+  attribution.on_crash({"quote"}, start);
+  attribution.on_completed("quote");
+  EXPECT_EQ(attribution.evaluate("quote", start),
+            isolation_decision{run_normally{}});
+  attribution.quarantine("poison", start);
+  attribution.on_completed("poison");
+  EXPECT_EQ(attribution.evaluate("poison", start),
+            isolation_decision{quarantined{}});
 }
 
-TEST(strikes_test, forgets_after_the_keep_time_though_peers_repeat_it) {
-  crash_attribution book = book_of(100);
-  book.quarantine("poison", start);
-  book.quarantine("poison", start + milliseconds{900});
-  EXPECT_EQ(book.evaluate("poison", start + milliseconds{1000}),
+TEST(crash_attribution_test,
+     expires_after_the_retention_although_peers_repeat_it) {
+  crash_attribution attribution = make_attribution(100);
+  attribution.quarantine("poison", start);
+  attribution.quarantine("poison", start + milliseconds{900});
+  EXPECT_EQ(attribution.evaluate("poison", start + milliseconds{1000}),
             isolation_decision{quarantined{}});
-  EXPECT_EQ(book.evaluate("poison", start + milliseconds{1001}),
+  EXPECT_EQ(attribution.evaluate("poison", start + milliseconds{1001}),
             isolation_decision{run_normally{}});
 }
 
-TEST(strikes_test, drops_strikes_before_convictions_when_full) {
-  crash_attribution book = book_of(2);
-  book.quarantine("poison", start);
-  book.on_crash({"a", "b", "c"}, start + milliseconds{1});
-  EXPECT_EQ(book.size(), 2U);
-  EXPECT_EQ(book.evaluate("poison", start), isolation_decision{quarantined{}});
+TEST(crash_attribution_test, evicts_implicated_before_quarantined_requests) {
+  crash_attribution attribution = make_attribution(2);
+  attribution.quarantine("poison", start);
+  attribution.on_crash({"a", "b", "c"}, start + milliseconds{1});
+  EXPECT_EQ(attribution.size(), 2U);
+  EXPECT_EQ(attribution.evaluate("poison", start),
+            isolation_decision{quarantined{}});
 }
 
-TEST(strikes_test, lists_the_latest_convictions_first) {
-  crash_attribution book = book_of(9);
+TEST(crash_attribution_test, lists_the_latest_quarantines_first) {
+  crash_attribution attribution = make_attribution(9);
   for (const char* name : {"a", "b", "c"}) {
-    book.quarantine(name, start + milliseconds{name[0]});
+    attribution.quarantine(name, start + milliseconds{name[0]});
   }
-  book.on_crash({"quote"}, start);
+  attribution.on_crash({"quote"}, start);
   const std::vector<std::string> latest{"c", "b"};
-  EXPECT_EQ(book.recent_quarantines(2), latest);
+  EXPECT_EQ(attribution.recent_quarantines(2), latest);
 }
 
 /// Servers that run random requests under the rules of `isolation_decision`.
 /// The poison request is retried after each crash, as callers do.
-class crash_run {
+class crash_simulation {
  public:
-  explicit crash_run(unsigned seed) : random(seed) {}
+  explicit crash_simulation(unsigned seed) : random(seed) {}
 
   void run() {
     for (int step = 0; step < 300; ++step) this->step();
@@ -101,68 +111,70 @@
     std::set<std::string> in_flight;
   };
 
-  unsigned below(unsigned limit) { return this->random() % limit; }
+  unsigned random_below(unsigned limit) { return this->random() % limit; }
 
   void step() {
-    server& chosen = this->servers[this->below(3)];
-    if (this->below(4) == 0) return this->end_all(chosen);
-    const unsigned number = this->below(25);
+    server& chosen = this->servers[this->random_below(3)];
+    if (this->random_below(4) == 0) return this->end_requests(chosen);
+    const unsigned number = this->random_below(25);
     this->send(chosen, number == 0 ? "poison" : "q" + std::to_string(number));
   }
 
   void send(server& chosen, const std::string& request) {
     if (this->is_in_flight(request)) return;
-    const isolation_decision verdict = this->book.evaluate(request, start);
-    if (verdict == isolation_decision{quarantined{}}) {
+    const isolation_decision decision =
+        this->attribution.evaluate(request, start);
+    if (decision == isolation_decision{quarantined{}}) {
       this->refused.insert(request);
       return;
     }
-    const bool alone = verdict == isolation_decision{run_isolated{}};
-    if (alone && this->runs_struck(chosen)) return;
+    const bool is_isolated = decision == isolation_decision{run_isolated{}};
+    if (is_isolated && this->runs_implicated(chosen)) return;
     chosen.in_flight.insert(request);
   }
 
   /// Ends all requests on a server: by a crash if the poison request is one.
-  void end_all(server& chosen) {
+  void end_requests(server& chosen) {
     const std::vector<std::string> ended(chosen.in_flight.begin(),
                                          chosen.in_flight.end());
     chosen.in_flight.clear();
     if (std::ranges::find(ended, "poison") == ended.end()) {
-      for (const auto& request : ended) this->book.on_completed(request);
+      for (const auto& request : ended) this->attribution.on_completed(request);
       return;
     }
     this->crashes["poison"] += 1;
-    this->book.on_crash(ended, start);
+    this->attribution.on_crash(ended, start);
   }
 
   bool is_in_flight(const std::string& request) const {
-    return std::ranges::any_of(this->servers, [&](const server& each) {
-      return each.in_flight.contains(request);
+    return std::ranges::any_of(this->servers, [&](const server& candidate) {
+      return candidate.in_flight.contains(request);
     });
   }
 
-  bool runs_struck(const server& chosen) const {
+  bool runs_implicated(const server& chosen) const {
     return std::ranges::any_of(chosen.in_flight, [&](const auto& request) {
-      return this->book.evaluate(request, start) ==
+      return this->attribution.evaluate(request, start) ==
              isolation_decision{run_isolated{}};
     });
   }
 
   std::mt19937 random;
-  crash_attribution book = book_of(1000);
+  crash_attribution attribution = make_attribution(1000);
   std::vector<server> servers{3};
 };
 
-TEST(strikes_test, bounds_the_crashes_of_one_poison_and_spares_the_innocent) {
-  int convictions = 0;
+TEST(crash_attribution_test, bounds_crashes_and_refuses_no_harmless_request) {
+  int quarantines = 0;
   for (unsigned seed = 0; seed < 500; ++seed) {
-    crash_run trial(seed);
-    trial.run();
-    ASSERT_TRUE(invariants::poison_bound(trial.crashes, trial.refused))
+    crash_simulation simulation(seed);
+    simulation.run();
+    ASSERT_TRUE(
+        invariants::poison_bound(simulation.crashes, simulation.refused))
         << "seed " << seed;
-    convictions += trial.refused.empty() ? 0 : 1;
+    quarantines += simulation.refused.empty() ? 0 : 1;
   }
-  EXPECT_GT(convictions, 250);
+  EXPECT_GT(quarantines, 250);
 }
 
 }  // namespace
--- a/test/decide-test/idempotency_claim_test.cpp
+++ b/test/decide-test/idempotency_claim_test.cpp
@@ -8,24 +8,24 @@
 using wire::attempt_status;
 
 const idempotency_record claimed{.digest = "d1", .attempt = "r1-a.1.1"};
-const idempotency_record ended{.digest = "d1",
-                               .attempt = "r1-a.1.1",
-                               .state = idempotency_state::completed};
+const idempotency_record completed{.digest = "d1",
+                                   .attempt = "r1-a.1.1",
+                                   .state = idempotency_state::completed};
 
-TEST(once_claim_test, judges_a_resend_by_its_row) {
+TEST(idempotency_claim_test, decides_by_the_record_of_the_key) {
   EXPECT_EQ(evaluate_record(std::nullopt, "d1"),
             record_step{claim_and_dispatch{}});
-  EXPECT_EQ(evaluate_record(ended, "d1"),
+  EXPECT_EQ(evaluate_record(completed, "d1"),
             record_step{return_stored_response{}});
   EXPECT_EQ(evaluate_record(claimed, "d1"), record_step{tombstone_attempt{}});
 }
 
-TEST(once_claim_test, refuses_a_key_that_came_with_another_request) {
+TEST(idempotency_claim_test, refuses_a_key_used_with_another_request) {
   EXPECT_EQ(evaluate_record(claimed, "d2"), record_step{refuse_key_reuse{}});
-  EXPECT_EQ(evaluate_record(ended, "d2"), record_step{refuse_key_reuse{}});
+  EXPECT_EQ(evaluate_record(completed, "d2"), record_step{refuse_key_reuse{}});
 }
 
-TEST(once_claim_test, runs_again_only_what_never_ran) {
+TEST(idempotency_claim_test, reassigns_only_a_claim_that_never_ran) {
   // Guards against running a request twice: the agent of the first attempt does
   // not respond or has lost its state, and a retry with the same key is
   // dispatched to another server.
@@ -41,7 +41,7 @@
   EXPECT_EQ(evaluate_agent_status(std::nullopt), unknown);
 }
 
-TEST(once_claim_test, knows_its_own_claim_when_the_writes_answer_was_lost) {
+TEST(idempotency_claim_test, recognizes_its_claim_after_a_lost_write_response) {
   EXPECT_TRUE(is_claimed_by(claimed, "r1-a.1.1"));
   EXPECT_FALSE(is_claimed_by(claimed, "r2-b.1.1"));
   EXPECT_FALSE(is_claimed_by(std::nullopt, "r1-a.1.1"));
