--- a/src/decide/crash_attribution.cpp
+++ b/src/decide/crash_attribution.cpp
@@ -67,8 +67,9 @@
     std::size_t max_count) const {
   std::vector<std::pair<time_point, std::string>> found;
   for (const auto& [fingerprint, known] : this->entries) {
-    if (known.is_quarantined)
+    if (known.is_quarantined) {
       found.emplace_back(known.recorded_at, fingerprint);
+    }
   }
   std::sort(found.begin(), found.end(), std::greater{});
   if (found.size() > max_count) found.resize(max_count);
@@ -88,8 +89,9 @@
     const std::string& fingerprint, time_point now) const {
   const auto found = this->entries.find(fingerprint);
   if (found == this->entries.end()) return nullptr;
-  if (now - found->second.recorded_at > this->settings.retention)
+  if (now - found->second.recorded_at > this->settings.retention) {
     return nullptr;
+  }
   return &found->second;
 }
 
--- a/src/decide/crash_tracker.cpp
+++ b/src/decide/crash_tracker.cpp
@@ -9,8 +9,9 @@
   if (this->completed.contains(fingerprint)) return;
   this->crash_counts.on_crash(fingerprint, now);
   // Bounded, since nothing takes the reports while there is no planner.
-  if (this->unreported.size() < max_implicated)
+  if (this->unreported.size() < max_implicated) {
     this->unreported.push_back(fingerprint);
+  }
 }
 
 void crash_tracker::on_completed(const std::string& fingerprint) {
--- a/src/decide/idempotency_claim.cpp
+++ b/src/decide/idempotency_claim.cpp
@@ -6,8 +6,9 @@
                             std::string_view digest) {
   if (!record) return claim_and_dispatch{};
   if (record->digest != digest) return refuse_key_reuse{};
-  if (record->state == idempotency_state::completed)
+  if (record->state == idempotency_state::completed) {
     return return_stored_response{};
+  }
   return tombstone_attempt{};
 }
 
--- a/src/decide/request_flow.cpp
+++ b/src/decide/request_flow.cpp
@@ -50,8 +50,9 @@
   }
   this->permit = response;
   this->homes_lost = 0;
-  if (this->request.has_idempotency_key)
+  if (this->request.has_idempotency_key) {
     return write_claim{this->current_attempt, this->permit};
+  }
   return dispatch{this->current_attempt, this->permit};
 }
 
@@ -72,8 +73,9 @@
 
 flow_step request_flow::on_claim_written(result_code code, time_point now) {
   if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
-  if (code == result_code::ok)
+  if (code == result_code::ok) {
     return dispatch{this->current_attempt, this->permit};
+  }
   // Without a claim nothing may be dispatched: another router that receives a
   // retry with the same key would not see this run. On a write conflict another
   // router holds the claim, and the request may run there.
@@ -168,8 +170,9 @@
     case wire::attempt_status::running: {
       const auto wait = this->limits.backoff_cap / 4;
       if (now + wait + this->limits.status_query_timeout >=
-          this->request.deadline)
+          this->request.deadline) {
         break;
+      }
       this->is_querying_status = true;
       return pause_until{now + wait};
     }
@@ -196,8 +199,9 @@
 }
 
 flow_step request_flow::on_pause_over(time_point now) {
-  if (this->is_querying_status)
+  if (this->is_querying_status) {
     return query_attempt_status{this->current_attempt, this->permit};
+  }
   if (now >= this->request.deadline) return this->refuse_deadline_passed(now);
   return this->start_next_attempt(now);
 }
@@ -246,8 +250,9 @@
   const auto wait =
       backoff(this->current_attempt.number, this->limits.backoff_base,
               this->limits.backoff_cap, this->random_bits());
-  if (now + wait >= this->request.deadline)
+  if (now + wait >= this->request.deadline) {
     return this->refuse_deadline_passed(now);
+  }
   return pause_until{now + wait};
 }
 
@@ -268,8 +273,9 @@
   const auto& server = this->permit.server;
   const auto found = std::find(this->excluded_servers.begin(),
                                this->excluded_servers.end(), server);
-  if (found == this->excluded_servers.end())
+  if (found == this->excluded_servers.end()) {
     this->excluded_servers.push_back(server);
+  }
 }
 
 bool is_final(const flow_step& step) {
--- a/test/decide-test/request_flow_test.cpp
+++ b/test/decide-test/request_flow_test.cpp
@@ -272,8 +272,9 @@
   }
   flow_step on(const query_attempt_status& step) {
     EXPECT_EQ(step.attempt, this->last_attempt);
-    if (this->one_in(3))
+    if (this->one_in(3)) {
       return this->flow.on_attempt_status(std::nullopt, this->now);
+    }
     // An agent reports `never_ran` only for an attempt that can't run later.
     auto status = attempt_status::never_ran;
     if (this->last_attempt_ran) {
