--- a/src/decide/decaying_sum.hpp
+++ b/src/decide/decaying_sum.hpp
@@ -13,7 +13,7 @@
 /// rate.
 class decaying_sum {
  public:
-  /// \param constant Time after which an amount has 1/e of its weight left.
+  /// \param time_constant Time after which an amount has 1/e of its weight.
   explicit decaying_sum(milliseconds time_constant)
       : time_constant(time_constant) {}
 
@@ -28,9 +28,10 @@
   double value(time_point now) const {
     const std::chrono::duration<double, std::milli> age =
         now - this->last_update;
-    const double steps = std::max(age.count(), 0.0) /
-                         static_cast<double>(this->time_constant.count());
-    return this->sum * std::exp(-steps);
+    const double time_constants =
+        std::max(age.count(), 0.0) /
+        static_cast<double>(this->time_constant.count());
+    return this->sum * std::exp(-time_constants);
   }
 
   /// \return The rate in amounts per second.
--- a/src/decide/draining_servers.hpp
+++ b/src/decide/draining_servers.hpp
@@ -19,6 +19,7 @@
   /// Maximum number of servers; the oldest is removed first.
   static constexpr std::size_t max_remembered = 1024;
 
+  /// Adds a server.
   /// \param server Identifies the incarnation of the server.
   /// \return True if the server was not in the set.
   bool add(const std::string& server);
--- a/src/decide/hedge_schedule.hpp
+++ b/src/decide/hedge_schedule.hpp
@@ -12,20 +12,20 @@
 /// Schedules hedged copies of a store request that has no response yet, while
 /// earlier attempts are still in flight.
 ///
-/// A store that stalls accepts calls and never answers them, but answers new
-/// ones as soon as it has recovered. With one attempt at a time, its recovery
-/// goes unnoticed until the attempt times out: 3 s, while a change had to be in
-/// force after 2 s. A shorter timeout would never get a response from a slow
-/// store. So attempts overlap: recovery is noticed within the interval between
-/// two of them, and each keeps a long timeout.
+/// A store that stalls accepts calls without ever responding, but responds to
+/// new ones as soon as it has recovered. With one attempt at a time, its
+/// recovery goes unnoticed until the attempt times out: 3 s, while a change had
+/// to be in force after 2 s. A shorter timeout would never get a response from
+/// a slow store. So attempts overlap: recovery is noticed within the interval
+/// between two of them, and each keeps a long timeout.
 class hedge_schedule {
  public:
   explicit hedge_schedule(const hedge_settings& settings)
       : settings(settings) {}
 
   /// Starts the schedule of a new request.
-  /// \param wait How long the store may hold the request (long poll).
-  void on_request_sent(time_point now, milliseconds wait);
+  /// \param hold_time How long the store may hold the request (long poll).
+  void on_request_sent(time_point now, milliseconds hold_time);
 
   /// Records a hedged copy, sent at the time that `next_time` returned.
   void on_hedge_sent(time_point now, std::uint64_t random_bits);
@@ -40,10 +40,10 @@
   ///     hedged copy was due. One late response alone is not enough.
   bool is_store_lost() const;
 
-  /// \param wait How long the store may hold the attempt.
+  /// \param hold_time How long the store may hold the attempt.
   /// \return Timeout of an attempt.
-  milliseconds attempt_timeout(milliseconds wait) const {
-    return wait + this->settings.attempt_timeout_margin;
+  milliseconds attempt_timeout(milliseconds hold_time) const {
+    return hold_time + this->settings.attempt_timeout_margin;
   }
 
  private:
--- a/src/decide/next_order.cpp
+++ b/src/decide/next_order.cpp
@@ -10,17 +10,18 @@
 
 using kind = fleet::worker_order::kind;
 
-bool holds(const std::vector<std::string>& names, const std::string& name) {
+bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-std::pair<std::string, std::string> split_adapter(const std::string& full) {
-  const auto slash = full.find('/');
-  if (slash == std::string::npos) return {full, {}};
-  return {full.substr(0, slash), full.substr(slash + 1)};
+std::pair<std::string, std::string> split_adapter(
+    const std::string& full_name) {
+  const auto slash = full_name.find('/');
+  if (slash == std::string::npos) return {full_name, {}};
+  return {full_name.substr(0, slash), full_name.substr(slash + 1)};
 }
 
-std::size_t adapters_held(const fleet::worker_report& report) {
+std::size_t count_adapters(const fleet::worker_report& report) {
   std::size_t count = report.coming.size();
   for (const auto& each : report.models) count += each.adapters.size();
   return count;
@@ -29,7 +30,7 @@
 std::optional<target_order> unload_unwanted_model(
     const fleet::worker_report& report, const residency_target& target) {
   for (const auto& each : report.models) {
-    if (holds(target.models, each.name)) continue;
+    if (contains(target.models, each.name)) continue;
     return target_order{.what = kind::unload, .model = each.name};
   }
   return std::nullopt;
@@ -54,7 +55,7 @@
     const fleet::worker_report& report, const residency_target& target) {
   for (const auto& each : report.models) {
     for (const auto& adapter : each.adapters) {
-      if (holds(target.adapters, each.name + '/' + adapter)) continue;
+      if (contains(target.adapters, each.name + '/' + adapter)) continue;
       return target_order{
           .what = kind::unload, .model = each.name, .adapter = adapter};
     }
@@ -62,28 +63,30 @@
   return std::nullopt;
 }
 
-bool is_missing(const fleet::worker_report& report, const std::string& full) {
-  const auto [model, adapter] = split_adapter(full);
+bool is_missing(const fleet::worker_report& report,
+                const std::string& full_name) {
+  const auto [model, adapter] = split_adapter(full_name);
   const auto* resident = report.find(model);
   if (!resident || adapter.empty()) return false;
-  return !holds(resident->adapters, adapter) && !holds(report.coming, full);
+  return !contains(resident->adapters, adapter) &&
+         !contains(report.coming, full_name);
 }
 
 std::optional<target_order> next_adapter_order(
     const fleet::worker_report& report, const residency_target& target,
     const fleet::service& service) {
   // A worker loads up to this many adapters concurrently.
-  constexpr std::size_t most_coming = 4;
-  for (const auto& full : target.adapters) {
-    if (!is_missing(report, full)) continue;
-    const auto [name, adapter] = split_adapter(full);
+  constexpr std::size_t max_loading_adapters = 4;
+  for (const auto& full_name : target.adapters) {
+    if (!is_missing(report, full_name)) continue;
+    const auto [name, adapter] = split_adapter(full_name);
     const auto* model = service.find_model(name);
     if (!model) continue;
-    const auto places = static_cast<std::size_t>(service.adapter_places);
-    const bool fits = adapters_held(report) < places &&
+    const auto slots = static_cast<std::size_t>(service.adapter_places);
+    const bool fits = count_adapters(report) < slots &&
                       model->adapter_mb <= free_memory_mb(report, service);
     if (!fits) return unload_unwanted_adapter(report, target);
-    if (report.coming.size() >= most_coming) return std::nullopt;
+    if (report.coming.size() >= max_loading_adapters) return std::nullopt;
     return target_order{.what = kind::load, .model = name, .adapter = adapter};
   }
   return std::nullopt;
@@ -93,19 +96,19 @@
 
 double free_memory_mb(const fleet::worker_report& report,
                       const fleet::service& service) {
-  double left = service.weights_mb;
+  double free_mb = service.weights_mb;
   for (const auto& each : report.models) {
     const auto* model = service.find_model(each.name);
     if (!model) return 0;
-    left -= model->weights_mb;
-    left -= model->adapter_mb * static_cast<double>(each.adapters.size());
+    free_mb -= model->weights_mb;
+    free_mb -= model->adapter_mb * static_cast<double>(each.adapters.size());
   }
-  for (const auto& full : report.coming) {
-    const auto* model = service.find_model(split_adapter(full).first);
+  for (const auto& full_name : report.coming) {
+    const auto* model = service.find_model(split_adapter(full_name).first);
     if (!model) return 0;
-    left -= model->adapter_mb;
+    free_mb -= model->adapter_mb;
   }
-  return left;
+  return free_mb;
 }
 
 std::optional<target_order> next_order(const fleet::worker_report& report,
@@ -116,8 +119,8 @@
   // model that an earlier incarnation of the agent ordered is unknown.
   if (report.busy || !loading.empty()) return std::nullopt;
   // Adapters first: they load in milliseconds.
-  if (auto adapter = next_adapter_order(report, target, service))
-    return adapter;
+  if (auto order = next_adapter_order(report, target, service)) return order;
+
   return next_model_order(report, target, service);
 }
 
--- a/src/decide/prompt_backlog_limits.hpp
+++ b/src/decide/prompt_backlog_limits.hpp
@@ -24,9 +24,7 @@
   bool operator==(const prompt_backlog_limits&) const = default;
 
   /// \param is_late The request's latency objective has passed.
-  /// \param routers Number of routers that send to the server; less than 1
-  /// counts
-  ///     as 1.
+  /// \param routers Number of routers that send to the server; 0 counts as 1.
   /// \return Maximum backlog of one router at the server, in prompt tokens.
   int router_limit(bool is_late, int routers) const {
     const int share = this->server_tokens / std::max(routers, 1);
--- a/src/decide/request_count_filter.hpp
+++ b/src/decide/request_count_filter.hpp
@@ -9,15 +9,17 @@
 /// With every change reported, the planner of a fleet of 21 routers and 39
 /// workers sent over 1 MB/s, more than the links of the smallest VMs carry; its
 /// updates then arrived seconds late, and no model was loaded in time.
-/// \param told The number that was reported last.
-/// \param now The current number.
-inline bool is_significant_change(int told, int now) {
+/// \param reported The number that was reported last.
+/// \param current The current number.
+inline bool is_significant_change(int reported, int current) {
   // Smaller changes don't affect the choice between workers with dozens of
   // slots.
-  constexpr int least = 3;
-  constexpr int part = 4;
-  const int change = now > told ? now - told : told - now;
-  return change >= least && change * part >= told;
+  constexpr int min_change = 3;
+  // The change must be at least a quarter of the reported number.
+  constexpr int change_divisor = 4;
+  const int change =
+      current > reported ? current - reported : reported - current;
+  return change >= min_change && change * change_divisor >= reported;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/response_progress.cpp
+++ b/src/decide/response_progress.cpp
@@ -6,12 +6,11 @@
 
 namespace {
 
-/// Lower bound of the stall timeout between two pieces of data. While a long
-/// prompt is processed each step takes 70 ms, and an event holds the tokens of
-/// several steps. A single stream may therefore have no event for several
-/// steps, while several streams are at different tokens of their events and
-/// have one at each step. A router that has used up its CPU quota pauses for
-/// 80 ms.
+/// Lower bound of the stall timeout between two pieces of data, and the part
+/// added to it for a single stream. While a long prompt is processed each step
+/// takes 70 ms, and an event holds the tokens of several steps. So one stream
+/// may have no event for several steps; of several streams, some stream has one
+/// at each step. A router that has used up its CPU quota pauses for 80 ms.
 constexpr milliseconds min_stream_gap{90};
 constexpr milliseconds single_stream_gap{150};
 /// Lower bound of the stall timeout before the first byte: some round trips
@@ -24,37 +23,38 @@
 
 }  // namespace
 
-void response_progress::on_sent(int tokens, time_point now) {
+void response_progress::on_sent(int prompt_tokens, time_point now) {
   if (this->awaited_responses() == 0) this->observing_since = now;
   ++this->unstarted;
-  this->backlog_tokens += tokens;
+  this->backlog_tokens += prompt_tokens;
 }
 
-void response_progress::on_response_started(int tokens, time_point now) {
-  const auto pause =
+void response_progress::on_response_started(int prompt_tokens, time_point now) {
+  const auto gap =
       std::chrono::duration_cast<milliseconds>(now - this->waiting_since());
-  if (this->started == 0 && pause <= max_stall_timeout)
-    this->first_byte_times.add(pause);
-  this->on_unstarted_request_removed(tokens);
+  if (this->started == 0 && gap <= max_stall_timeout)
+    this->first_byte_times.add(gap);
+
+  this->on_unstarted_request_removed(prompt_tokens);
   ++this->started;
   this->last_data = now;
 }
 
 void response_progress::on_data(time_point now) {
-  const auto pause =
+  const auto gap =
       std::chrono::duration_cast<milliseconds>(now - this->waiting_since());
   this->last_data = now;
   // A stall that has ended must not raise the estimate of the usual gap.
-  if (pause <= max_stall_timeout) this->data_gaps.add(pause);
+  if (gap <= max_stall_timeout) this->data_gaps.add(gap);
 }
 
 void response_progress::on_started_request_removed() {
   this->started = std::max(this->started - 1, 0);
 }
 
-void response_progress::on_unstarted_request_removed(int tokens) {
+void response_progress::on_unstarted_request_removed(int prompt_tokens) {
   this->unstarted = std::max(this->unstarted - 1, 0);
-  this->backlog_tokens = std::max(this->backlog_tokens - tokens, 0);
+  this->backlog_tokens = std::max(this->backlog_tokens - prompt_tokens, 0);
 }
 
 void response_progress::on_read_resumed(time_point now) {
@@ -64,15 +64,17 @@
 
 milliseconds response_progress::stall_timeout() const {
   if (this->started > this->read_paused) {
-    const auto least = min_stream_gap +
-                       single_stream_gap / (this->started - this->read_paused);
-    return std::clamp(this->data_gaps.upper_bound(), least, max_stall_timeout);
+    const auto min_timeout =
+        min_stream_gap +
+        single_stream_gap / (this->started - this->read_paused);
+    return std::clamp(this->data_gaps.upper_bound(), min_timeout,
+                      max_stall_timeout);
   }
-  const auto reading = milliseconds(static_cast<std::int64_t>(
+  const auto prompt_time = milliseconds(static_cast<std::int64_t>(
       ms_per_prompt_token * static_cast<double>(this->backlog_tokens)));
   return std::clamp(this->first_byte_times.upper_bound(),
                     min_first_byte_timeout, max_stall_timeout) +
-         reading;
+         prompt_time;
 }
 
 bool response_progress::is_stalled(time_point now) const {
--- a/src/decide/response_progress.hpp
+++ b/src/decide/response_progress.hpp
@@ -25,12 +25,12 @@
 class response_progress {
  public:
   /// Records that a request was sent.
-  /// \param tokens Number of tokens of its prompt; 0 if it has none.
-  void on_sent(int tokens, time_point now);
+  /// \param prompt_tokens Number of tokens of its prompt; 0 if it has none.
+  void on_sent(int prompt_tokens, time_point now);
 
   /// Records the first bytes of a request's response.
-  /// \param tokens As given to `on_sent`.
-  void on_response_started(int tokens, time_point now);
+  /// \param prompt_tokens As given to `on_sent`.
+  void on_response_started(int prompt_tokens, time_point now);
 
   /// Records further bytes of any response.
   void on_data(time_point now);
@@ -39,8 +39,8 @@
   void on_started_request_removed();
 
   /// Stops tracking a request whose response has not started.
-  /// \param tokens As given to `on_sent`.
-  void on_unstarted_request_removed(int tokens);
+  /// \param prompt_tokens As given to `on_sent`.
+  void on_unstarted_request_removed(int prompt_tokens);
 
   /// Records that a started response is not being read from the server because
   /// its caller applies back-pressure.
@@ -49,8 +49,10 @@
   void on_read_resumed(time_point now);
 
   /// Excludes a pause of the router itself, in which it could not read.
-  /// \param until End of the pause.
-  void ignore_local_pause(time_point until) { this->observing_since = until; }
+  /// \param pause_end End of the pause.
+  void ignore_local_pause(time_point pause_end) {
+    this->observing_since = pause_end;
+  }
 
   /// \return True if responses are pending and no data has arrived for longer
   ///     than is usual for this server.
--- a/src/decide/response_time_estimate.cpp
+++ b/src/decide/response_time_estimate.cpp
@@ -6,13 +6,14 @@
 
 namespace boragehill::decide {
 
-void response_time_estimate::on_response(int most_tokens, milliseconds streamed,
+void response_time_estimate::on_response(int max_tokens,
+                                         milliseconds stream_time,
                                          time_point now) {
-  if (most_tokens <= 0) return;
+  if (max_tokens <= 0) return;
   this->advance_window(now);
-  const ms_per_token seen = static_cast<double>(streamed.count()) /
-                            std::max(most_tokens, min_counted_tokens);
-  this->current_slowest = std::max(this->current_slowest, seen);
+  const ms_per_token measured = static_cast<double>(stream_time.count()) /
+                                std::max(max_tokens, min_counted_tokens);
+  this->current_slowest = std::max(this->current_slowest, measured);
 }
 
 void response_time_estimate::advance_window(time_point now) {
@@ -28,16 +29,16 @@
 
 milliseconds response_time_estimate::max_response_time(int tokens,
                                                        time_point now) const {
-  ms_per_token each = default_time_per_token;
+  ms_per_token time_per_token = default_time_per_token;
   if (this->window_start && now < *this->window_start + 2 * window) {
-    const ms_per_token seen =
+    const ms_per_token slowest =
         std::max(this->current_slowest, this->previous_slowest);
-    each = std::max(each, seen * headroom);
+    time_per_token = std::max(time_per_token, slowest * headroom);
   }
-  const double ms = each * std::max(tokens, 0);
-  const auto most = static_cast<double>(max_generation_time.count());
+  const double estimate_ms = time_per_token * std::max(tokens, 0);
+  const auto max_ms = static_cast<double>(max_generation_time.count());
   return base_time +
-         milliseconds(static_cast<std::int64_t>(std::min(ms, most)));
+         milliseconds(static_cast<std::int64_t>(std::min(estimate_ms, max_ms)));
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/response_time_estimate.hpp
+++ b/src/decide/response_time_estimate.hpp
@@ -14,14 +14,14 @@
 /// load would cut responses off at another.
 class response_time_estimate {
  public:
-  /// Time to the first token of a generation, or the whole time of a plain
+  /// Time to the first token of a generation, or the total time of a plain
   /// call.
   static constexpr milliseconds base_time{1000};
 
   /// Records a response that was forwarded completely.
-  /// \param most_tokens The maximum number of tokens that was requested.
-  /// \param streamed Time from its first byte to its end.
-  void on_response(int most_tokens, milliseconds streamed, time_point now);
+  /// \param max_tokens The maximum number of tokens that was requested.
+  /// \param stream_time Time from its first byte to its end.
+  void on_response(int max_tokens, milliseconds stream_time, time_point now);
 
   /// \param tokens Length of the response; 0 for a plain call.
   /// \return Upper estimate of the time from sending the request to the end of
--- a/src/decide/retry_after_servers.cpp
+++ b/src/decide/retry_after_servers.cpp
@@ -7,11 +7,11 @@
 
 bool retry_after_servers::on_retry_after(const std::string& server,
                                          time_point until, time_point now) {
-  const bool rested = this->until(server, now).has_value();
-  auto& known = this->periods[server];
-  if (!rested) known = {.end = until};
-  known.end = std::max(known.end, until);
-  return !rested;
+  const bool in_period = this->until(server, now).has_value();
+  auto& entry = this->periods[server];
+  if (!in_period) entry = {.end = until};
+  entry.end = std::max(entry.end, until);
+  return !in_period;
 }
 
 std::optional<time_point> retry_after_servers::until(const std::string& server,
@@ -30,8 +30,8 @@
 }
 
 bool retry_after_servers::drop_expired(time_point now) {
-  return std::erase_if(this->periods, [now](const auto& each) {
-           return now >= each.second.end;
+  return std::erase_if(this->periods, [now](const auto& entry) {
+           return now >= entry.second.end;
          }) > 0;
 }
 
--- a/src/decide/retry_after_servers.hpp
+++ b/src/decide/retry_after_servers.hpp
@@ -32,9 +32,9 @@
   ///     dropped.
   bool empty() const { return this->periods.empty(); }
 
-  /// Decides whether a server whose responses have stalled may be probed. In a
+  /// Claims a probe of a server whose responses have stalled. During its
   /// retry-after period it may still have requests, so one probe is allowed.
-  /// \return False if the server has been probed in its current period.
+  /// \return False if the probe of the current period has been claimed already.
   bool claim_probe(const std::string& server, time_point now);
 
   /// Removes the expired periods.
--- a/src/decide/running_mean.hpp
+++ b/src/decide/running_mean.hpp
@@ -8,13 +8,13 @@
 /// Exponentially weighted mean of durations, with an initial guess.
 class running_mean {
  public:
-  explicit running_mean(milliseconds first_guess) : mean(first_guess) {}
+  explicit running_mean(milliseconds initial_guess) : mean(initial_guess) {}
 
-  void add(milliseconds measured) {
-    constexpr int weight_of_old = 7;
-    this->mean = this->has_sample ? (this->mean * weight_of_old + measured) /
-                                        (weight_of_old + 1)
-                                  : measured;
+  void add(milliseconds sample) {
+    constexpr int old_weight = 7;
+    this->mean = this->has_sample
+                     ? (this->mean * old_weight + sample) / (old_weight + 1)
+                     : sample;
     this->has_sample = true;
   }
 
--- a/src/decide/server_choice.cpp
+++ b/src/decide/server_choice.cpp
@@ -14,35 +14,37 @@
 /// others are full.
 constexpr double suspected_cost = 1000;
 
-double cost_of(const server_candidate& each) {
-  const double taken = each.own_requests + each.other_requests;
-  double cost =
-      taken / each.slots + each.prompt_backlog_tokens / tokens_per_full_load;
-  if (!each.local) cost += cross_domain_cost;
-  if (each.suspected) cost += suspected_cost;
+double cost_of(const server_candidate& server) {
+  const double requests = server.own_requests + server.other_requests;
+  double cost = requests / server.slots +
+                server.prompt_backlog_tokens / tokens_per_full_load;
+  if (!server.local) cost += cross_domain_cost;
+  if (server.suspected) cost += suspected_cost;
   return cost;
 }
 
-bool is_full(const server_candidate& each, double queue_share,
-             int most_unread) {
-  if (each.prompt_backlog_tokens > most_unread) return true;
-  const double room = each.slots * (1 + queue_share);
-  return each.own_requests + each.other_requests >= room;
+bool is_full(const server_candidate& server, double queue_share,
+             int max_backlog_tokens) {
+  if (server.prompt_backlog_tokens > max_backlog_tokens) return true;
+  const double capacity = server.slots * (1 + queue_share);
+  return server.own_requests + server.other_requests >= capacity;
 }
 
 }  // namespace
 
 std::optional<std::size_t> choose_server(
     const std::vector<server_candidate>& candidates, double queue_share,
-    int most_unread, std::uint64_t random) {
+    int max_backlog_tokens, std::uint64_t random) {
   std::optional<std::size_t> best;
   double best_cost = 0;
   const std::size_t count = candidates.size();
   for (std::size_t step = 0; step < count; ++step) {
     const std::size_t index = (step + random % count) % count;
-    const auto& each = candidates[index];
-    if (each.slots <= 0 || is_full(each, queue_share, most_unread)) continue;
-    const double cost = cost_of(each);
+    const auto& server = candidates[index];
+    if (server.slots <= 0 || is_full(server, queue_share, max_backlog_tokens))
+      continue;
+
+    const double cost = cost_of(server);
     if (best && cost >= best_cost) continue;
     best = index;
     best_cost = cost;
--- a/src/decide/server_choice.hpp
+++ b/src/decide/server_choice.hpp
@@ -20,8 +20,8 @@
 /// \param queue_share Fraction of its slots by which a server may be
 ///     overfilled; its own queue is short and honours priorities, so it is used
 ///     a little.
-/// \param most_unread Limit of this router's prompt backlog at the server, see
-///     `prompt_backlog_limits`. It is lower for requests whose latency
+/// \param max_backlog_tokens Limit of this router's prompt backlog at a server,
+///     see `prompt_backlog_limits`. It is lower for requests whose latency
 ///     objective has passed, so that they don't make others late: when a model
 ///     restarted with a hundred requests waiting, their prompts kept the worker
 ///     busy for 2 s, in which new requests became late, too, and streams
@@ -31,7 +31,7 @@
 /// \return Index of the candidate; nothing if all are full.
 std::optional<std::size_t> choose_server(
     const std::vector<server_candidate>& candidates, double queue_share,
-    int most_unread, std::uint64_t random);
+    int max_backlog_tokens, std::uint64_t random);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/shutdown_gate.hpp
+++ b/src/decide/shutdown_gate.hpp
@@ -10,13 +10,15 @@
 /// Decides which requests a router still sends to a server during its
 /// shutdown.
 ///
-/// The load balancer needs some seconds to direct callers to other routers, so
+/// The load balancer needs some seconds to direct callers to other routers;
 /// requests until then are served. A later one is served only if it surely ends
-/// before the process does: a longer one would be cut off, while a caller that
-/// is rejected at once soon reaches another router. Later requests aren't all
-/// rejected, since during a quick succession of router shutdowns the caller
-/// would reach only other routers that shut down. Time spent waiting for a
-/// server counts too, so the decision is repeated until the request is sent.
+/// before the process does. A longer one would be cut off, while a caller that
+/// is rejected at once soon reaches another router.
+///
+/// Not all later requests are rejected: if all routers shut down in quick
+/// succession, a rejected caller reaches only others that shut down. Time spent
+/// waiting for a server counts, so the decision is repeated until the request
+/// is sent.
 class shutdown_gate {
  public:
   /// Time until the load balancer stops sending callers here. It checks the
@@ -25,18 +27,19 @@
   static constexpr milliseconds balancer_removal_time{2900};
 
   /// Starts the shutdown.
-  /// \param until When the process ends.
-  void begin_shutdown(time_point now, time_point until);
+  /// \param process_end When the process ends.
+  void begin_shutdown(time_point now, time_point process_end);
 
   /// Rejects all requests from now on. Called when no request is open and the
   /// process is about to end, so that none is accepted at the last moment and
   /// cut off.
   void reject_all() { this->is_rejecting_all = true; }
 
-  /// \param needs Time from sending the request to the end of its response.
+  /// \param response_time Time from sending the request to the end of its
+  ///     response.
   /// \param start Earliest time at which a server receives the request.
   /// \return True if the request must be rejected.
-  bool rejects(milliseconds needs, time_point start) const;
+  bool rejects(milliseconds response_time, time_point start) const;
 
  private:
   std::optional<time_point> shutdown_start;
--- a/src/decide/stall_detector.cpp
+++ b/src/decide/stall_detector.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// A live server answers a probe within some milliseconds.
+/// A live server responds to a probe within some milliseconds.
 constexpr milliseconds probe_timeout{150};
 constexpr milliseconds probe_interval{200};
 /// Time that a server has after a successful probe to make progress again.
 constexpr milliseconds grace_period{300};
-/// A server that answers probes but no requests is probed at growing intervals,
-/// up to 200 ms * 2^4, so that it is in use for a tenth of the time.
+/// A server that responds to probes but not to requests is probed at growing
+/// intervals, up to 200 ms * 2^4, so that it is in use for a tenth of the time.
 constexpr int max_doublings = 4;
 
 }  // namespace
@@ -21,6 +21,7 @@
   if (this->suspected_since) {
     if (this->progress.last_data_time() <= *this->suspected_since)
       return transition::none;
+
     this->probes_without_progress = 0;
     this->clear_suspicion();
     return transition::recovered;
--- a/src/decide/stall_detector.hpp
+++ b/src/decide/stall_detector.hpp
@@ -10,7 +10,7 @@
 namespace boragehill::decide {
 
 /// Suspects a backend server whose responses have stalled, until it sends data
-/// again or answers a probe.
+/// again or responds to a probe.
 ///
 /// A suspected server gets no new requests, so when it resumes it runs at most
 /// the requests of the last tenths of a second for nobody. The suspicion is
@@ -53,9 +53,9 @@
 
   /// Excludes a pause of the router itself: data that the server sent meanwhile
   /// may not have been read yet.
-  /// \param until End of the pause.
-  void ignore_local_pause(time_point until) {
-    this->progress.ignore_local_pause(until);
+  /// \param pause_end End of the pause.
+  void ignore_local_pause(time_point pause_end) {
+    this->progress.ignore_local_pause(pause_end);
     this->probe_failed = false;
   }
 
--- a/src/decide/stalled_request.hpp
+++ b/src/decide/stalled_request.hpp
@@ -6,7 +6,7 @@
 namespace boragehill::decide {
 
 /// A request at a backend server whose responses have stalled and which did not
-/// answer a probe.
+/// respond to a probe.
 struct stalled_request {
   /// Time since the last data from the server.
   milliseconds stalled_for{0};
--- a/src/decide/timeout_estimator.hpp
+++ b/src/decide/timeout_estimator.hpp
@@ -11,26 +11,27 @@
 /// timeout (RFC 6298).
 class timeout_estimator {
  public:
-  void add(milliseconds measured) {
-    const auto value = static_cast<double>(measured.count());
+  void add(milliseconds sample) {
+    const auto value = static_cast<double>(sample.count());
     if (!this->has_sample) {
       this->has_sample = true;
       this->mean = value;
       this->deviation = value / 2;
       return;
     }
-    constexpr double weight_of_spread = 0.25;
-    constexpr double weight_of_mean = 0.125;
+    constexpr double deviation_weight = 0.25;
+    constexpr double mean_weight = 0.125;
     this->deviation +=
-        weight_of_spread * (std::abs(value - this->mean) - this->deviation);
-    this->mean += weight_of_mean * (value - this->mean);
+        deviation_weight * (std::abs(value - this->mean) - this->deviation);
+    this->mean += mean_weight * (value - this->mean);
   }
 
   /// \return Duration that few samples exceed: the mean plus four deviations;
   ///     0 without samples.
   milliseconds upper_bound() const {
-    constexpr double spreads = 4;
-    return milliseconds(std::llround(this->mean + spreads * this->deviation));
+    constexpr double deviations = 4;
+    return milliseconds(
+        std::llround(this->mean + deviations * this->deviation));
   }
 
  private:
--- a/src/decide/wait_limit.cpp
+++ b/src/decide/wait_limit.cpp
@@ -25,24 +25,24 @@
 
 }  // namespace
 
-milliseconds caller_timeout(const wait_state& waiting) {
-  const auto whole = waiting.waited + waiting.remaining;
-  if (!waiting.is_stream) return whole;
-  const auto borne = std::max(
-      {min_caller_timeout, waiting.first_event_objective * tolerated_objectives,
-       waiting.gap_objective * tolerated_gaps});
-  return std::min(whole, borne);
+milliseconds caller_timeout(const wait_state& request) {
+  const auto time_limit = request.waited + request.remaining;
+  if (!request.is_stream) return time_limit;
+  const auto tolerated = std::max(
+      {min_caller_timeout, request.first_event_objective * tolerated_objectives,
+       request.gap_objective * tolerated_gaps});
+  return std::min(time_limit, tolerated);
 }
 
-std::optional<milliseconds> retry_after_if_rejected(const wait_state& waiting) {
-  if (!waiting.has_server) return no_server_retry_after;
+std::optional<milliseconds> retry_after_if_rejected(const wait_state& request) {
+  if (!request.has_server) return no_server_retry_after;
   const auto remaining =
-      caller_timeout(waiting) - waiting.waited - first_event_time;
+      caller_timeout(request) - request.waited - first_event_time;
   if (remaining <= milliseconds(0)) {
-    return waiting.ready_in.value_or(default_retry_after) + retry_margin;
+    return request.ready_in.value_or(default_retry_after) + retry_margin;
   }
-  if (!waiting.ready_in || *waiting.ready_in <= remaining) return std::nullopt;
-  return *waiting.ready_in + retry_margin;
+  if (!request.ready_in || *request.ready_in <= remaining) return std::nullopt;
+  return *request.ready_in + retry_margin;
 }
 
 }  // namespace boragehill::decide
--- a/src/decide/wait_limit.hpp
+++ b/src/decide/wait_limit.hpp
@@ -15,7 +15,7 @@
 /// Callers of streams give up after two seconds without an event, four times
 /// the first-event objective or eight times the objective between events,
 /// whichever is longest; other callers wait until their deadline.
-milliseconds caller_timeout(const wait_state& waiting);
+milliseconds caller_timeout(const wait_state& request);
 
 /// Decides whether a waiting request should be rejected now.
 ///
@@ -25,7 +25,7 @@
 /// they are served on their retry.
 /// \return Time after which the caller should retry; nothing if the request
 ///     should keep waiting.
-std::optional<milliseconds> retry_after_if_rejected(const wait_state& waiting);
+std::optional<milliseconds> retry_after_if_rejected(const wait_state& request);
 
 }  // namespace boragehill::decide
 
--- a/src/decide/worker_orders.cpp
+++ b/src/decide/worker_orders.cpp
@@ -12,25 +12,26 @@
 worker_orders::worker_orders(std::string holder, std::string worker_service)
     : holder(std::move(holder)), service_name(std::move(worker_service)) {}
 
-void worker_orders::set_target(std::string meant, residency_target wanted,
-                               std::int64_t born) {
-  this->server = std::move(meant);
-  this->target_incarnation = born;
-  this->target = std::move(wanted);
+void worker_orders::set_target(std::string target_server,
+                               residency_target new_target,
+                               std::int64_t incarnation) {
+  this->server = std::move(target_server);
+  this->target_incarnation = incarnation;
+  this->target = std::move(new_target);
 }
 
-void worker_orders::on_report(const fleet::worker_report& news,
+void worker_orders::on_report(const fleet::worker_report& new_report,
                               time_point now) {
   // The sequence number alone doesn't show a restart: it may have passed the
   // old one before the first report of the new incarnation.
-  const bool restarted = news.born != this->known_incarnation ||
-                         news.sequence < this->known_sequence;
+  const bool restarted = new_report.born != this->known_incarnation ||
+                         new_report.sequence < this->known_sequence;
   if (restarted) this->on_new_incarnation(now);
-  const bool taken_in = news.sequence >= this->loaded_sequence;
-  if (taken_in && !news.busy) this->loading_model.clear();
-  this->known_incarnation = news.born;
-  this->known_sequence = news.sequence;
-  this->report = news;
+  const bool load_is_included = new_report.sequence >= this->loaded_sequence;
+  if (load_is_included && !new_report.busy) this->loading_model.clear();
+  this->known_incarnation = new_report.born;
+  this->known_sequence = new_report.sequence;
+  this->report = new_report;
 }
 
 void worker_orders::on_new_incarnation(time_point now) {
@@ -39,8 +40,9 @@
   this->not_before = now;
   if (this->unanswered_order)
     this->remember_unanswered(*this->unanswered_order, now);
+
   std::erase_if(this->orphaned_orders,
-                [now](const auto& each) { return each.until <= now; });
+                [now](const auto& delayed) { return delayed.until <= now; });
   std::move(this->unconfirmed_orders.begin(), this->unconfirmed_orders.end(),
             std::back_inserter(this->orphaned_orders));
   this->unconfirmed_orders.clear();
@@ -49,7 +51,7 @@
 void worker_orders::remember_unanswered(const fleet::worker_order& order,
                                         time_point now) {
   std::erase_if(this->unconfirmed_orders,
-                [now](const auto& each) { return each.until <= now; });
+                [now](const auto& delayed) { return delayed.until <= now; });
   if (order.what != fleet::worker_order::kind::load) return;
   this->unconfirmed_orders.push_back({.model = order.model,
                                       .is_adapter = !order.adapter.empty(),
@@ -57,20 +59,20 @@
 }
 
 fleet::service worker_orders::available_capacity(time_point now) const {
-  auto room = *this->service;
-  std::set<std::string> counted;
-  for (const auto& each : this->orphaned_orders) {
-    if (each.until <= now) continue;
-    const auto* model = room.find_model(each.model);
-    if (each.is_adapter) {
-      --room.adapter_places;
-      if (model) room.weights_mb -= model->adapter_mb;
-    } else if (model && counted.insert(each.model).second) {
-      room.weights_mb -= model->weights_mb;
+  auto capacity = *this->service;
+  std::set<std::string> counted_models;
+  for (const auto& order : this->orphaned_orders) {
+    if (order.until <= now) continue;
+    const auto* model = capacity.find_model(order.model);
+    if (order.is_adapter) {
+      --capacity.adapter_places;
+      if (model) capacity.weights_mb -= model->adapter_mb;
+    } else if (model && counted_models.insert(order.model).second) {
+      capacity.weights_mb -= model->weights_mb;
     }
   }
-  room.adapter_places = std::max(room.adapter_places, 0);
-  return room;
+  capacity.adapter_places = std::max(capacity.adapter_places, 0);
+  return capacity;
 }
 
 std::optional<fleet::worker_order> worker_orders::next(time_point now) {
@@ -79,17 +81,19 @@
   if (this->server.empty()) return std::nullopt;
   // The target was decided for another incarnation of the worker with the same
   // id, so the server name in the order would not prevent its execution.
-  const bool known = this->target_incarnation != 0 && this->report->born != 0;
-  if (known && this->target_incarnation != this->report->born)
+  const bool both_known =
+      this->target_incarnation != 0 && this->report->born != 0;
+  if (both_known && this->target_incarnation != this->report->born)
     return std::nullopt;
-  const auto wanted = next_order(*this->report, this->loading_model,
-                                 this->target, this->available_capacity(now));
-  if (!wanted) return std::nullopt;
+
+  const auto order = next_order(*this->report, this->loading_model,
+                                this->target, this->available_capacity(now));
+  if (!order) return std::nullopt;
   this->is_order_in_flight = true;
   this->unanswered_order =
-      fleet::worker_order{.what = wanted->what,
-                          .model = wanted->model,
-                          .adapter = wanted->adapter,
+      fleet::worker_order{.what = order->what,
+                          .model = order->model,
+                          .adapter = order->adapter,
                           .server = this->server,
                           .expected = this->report->sequence,
                           .holder = this->holder,
@@ -98,16 +102,16 @@
 }
 
 void worker_orders::on_response(const fleet::worker_order& order,
-                                fleet::order_answer answer, time_point now) {
+                                fleet::order_answer response, time_point now) {
   this->is_order_in_flight = false;
   this->unanswered_order.reset();
-  const bool loads_model =
+  const bool is_model_load =
       order.what == fleet::worker_order::kind::load && order.adapter.empty();
-  switch (answer) {
+  switch (response) {
     case fleet::order_answer::accepted:
       // Issue no further order until a report shows the effect.
       this->report.reset();
-      if (!loads_model) return;
+      if (!is_model_load) return;
       this->loading_model = order.model;
       this->loaded_sequence = order.expected + 1;
       return;
--- a/src/decide/worker_orders.hpp
+++ b/src/decide/worker_orders.hpp
@@ -40,23 +40,24 @@
   /// Sets the fencing number, which no earlier incarnation of the agent had;
   /// without it no order is issued.
   void set_fence(std::int64_t number) { this->fence = number; }
-  void set_service(std::optional<fleet::service> known) {
-    this->service = std::move(known);
+  void set_service(std::optional<fleet::service> new_service) {
+    this->service = std::move(new_service);
   }
-  /// \param wanted The residency to reach.
-  /// \param born Start time of the incarnation of the worker for which `wanted`
-  ///     was decided; 0 if unknown.
-  void set_target(std::string server, residency_target wanted,
-                  std::int64_t born = 0);
+  /// Sets the residency that the worker is to reach.
+  /// \param target_server Id of the worker, named in its orders.
+  /// \param incarnation Start time of the worker's incarnation for which the
+  ///     target was decided; 0 if unknown.
+  void set_target(std::string target_server, residency_target new_target,
+                  std::int64_t incarnation = 0);
 
   /// Processes a fresh report of the worker itself.
-  void on_report(const fleet::worker_report& news, time_point now);
+  void on_report(const fleet::worker_report& new_report, time_point now);
 
   /// \return The order to send now, if any; it counts as sent.
   std::optional<fleet::worker_order> next(time_point now);
 
-  void on_response(const fleet::worker_order& order, fleet::order_answer answer,
-                   time_point now);
+  void on_response(const fleet::worker_order& order,
+                   fleet::order_answer response, time_point now);
 
   /// \return The model that is being loaded, or empty.
   const std::string& loading() const { return this->loading_model; }
--- a/test/decide-test/draining_servers_test.cpp
+++ b/test/decide-test/draining_servers_test.cpp
@@ -6,24 +6,25 @@
 namespace boragehill::decide {
 namespace {
 
-TEST(leaving_servers_test, is_news_once) {
-  draining_servers leaving;
-  EXPECT_FALSE(leaving.contains("i-1"));
-  EXPECT_TRUE(leaving.add("i-1"));
-  EXPECT_FALSE(leaving.add("i-1"));
-  EXPECT_TRUE(leaving.contains("i-1"));
-  EXPECT_FALSE(leaving.contains("i-2"));
+TEST(draining_servers_test, reports_a_server_as_new_once) {
+  draining_servers draining;
+  EXPECT_FALSE(draining.contains("i-1"));
+  EXPECT_TRUE(draining.add("i-1"));
+  EXPECT_FALSE(draining.add("i-1"));
+  EXPECT_TRUE(draining.contains("i-1"));
+  EXPECT_FALSE(draining.contains("i-2"));
 }
 
-TEST(leaving_servers_test, forgets_the_oldest_beyond_its_bound) {
+TEST(draining_servers_test, removes_the_oldest_server_beyond_its_limit) {
   // Guards against memory use that grows with every server that ever drained.
-  draining_servers leaving;
-  for (std::size_t each = 0; each <= draining_servers::max_remembered; ++each) {
-    EXPECT_TRUE(leaving.add("i-" + std::to_string(each)));
+  draining_servers draining;
+  for (std::size_t server = 0; server <= draining_servers::max_remembered;
+       ++server) {
+    EXPECT_TRUE(draining.add("i-" + std::to_string(server)));
   }
-  EXPECT_FALSE(leaving.contains("i-0"));
-  EXPECT_TRUE(leaving.contains("i-1"));
-  EXPECT_TRUE(leaving.contains(
+  EXPECT_FALSE(draining.contains("i-0"));
+  EXPECT_TRUE(draining.contains("i-1"));
+  EXPECT_TRUE(draining.contains(
       "i-" + std::to_string(draining_servers::max_remembered)));
 }
 
--- a/test/decide-test/prompt_backlog_limits_test.cpp
+++ b/test/decide-test/prompt_backlog_limits_test.cpp
@@ -13,9 +13,9 @@
 
 /// The only worker that has a model, as seen by each router of a fleet; it
 /// processes no prompts.
-class stuck_worker {
+class stalled_worker {
  public:
-  explicit stuck_worker(int routers)
+  explicit stalled_worker(int routers)
       : views(routers, server_candidate{.slots = 64}) {}
 
   bool send(int router, int tokens) {
@@ -28,9 +28,9 @@
     return true;
   }
 
-  int unread() const {
+  int backlog_tokens() const {
     int sum = 0;
-    for (const auto& each : this->views) sum += each.prompt_backlog_tokens;
+    for (const auto& view : this->views) sum += view.prompt_backlog_tokens;
     return sum;
   }
 
@@ -40,40 +40,41 @@
   std::vector<server_candidate> views;
 };
 
-TEST(unread_limits_test, little_lies_at_a_worker_that_reads_nothing) {
+TEST(prompt_backlog_limits_test, limits_the_backlog_at_a_stalled_worker) {
   // The only worker of the busiest model stalls, and four routers have a
   // hundred requests for it. All were sent at once, waited there until their
   // callers gave up, and were lost, although another worker had the model soon
   // after.
   constexpr int routers = 4;
-  stuck_worker worker(routers);
-  for (int each = 0; each < 100; ++each) {
-    worker.send(each % routers, short_prompt);
+  stalled_worker worker(routers);
+  for (int request = 0; request < 100; ++request) {
+    worker.send(request % routers, short_prompt);
   }
-  EXPECT_GE(worker.unread(), worker.limits.server_tokens);
-  EXPECT_LE(worker.unread(),
+  EXPECT_GE(worker.backlog_tokens(), worker.limits.server_tokens);
+  EXPECT_LE(worker.backlog_tokens(),
             worker.limits.server_tokens + routers * short_prompt);
 }
 
-TEST(unread_limits_test, nothing_is_sent_behind_a_long_prompt) {
+TEST(prompt_backlog_limits_test, sends_nothing_behind_a_long_prompt) {
   // A worker processes a long prompt for half a second. Requests that its
   // router sends meanwhile can't start before, nor move to another worker.
-  stuck_worker worker(4);
+  stalled_worker worker(4);
   EXPECT_TRUE(worker.send(0, long_prompt));
   EXPECT_FALSE(worker.send(0, short_prompt));
   EXPECT_TRUE(worker.send(1, short_prompt));
 }
 
-TEST(unread_limits_test, each_router_of_many_may_send_one) {
+TEST(prompt_backlog_limits_test,
+     allows_one_prompt_per_router_of_a_large_fleet) {
   constexpr int routers = 340;
-  stuck_worker worker(routers);
+  stalled_worker worker(routers);
   for (int router = 0; router < routers; ++router) {
     EXPECT_TRUE(worker.send(router, long_prompt)) << router;
     EXPECT_FALSE(worker.send(router, short_prompt)) << router;
   }
 }
 
-TEST(unread_limits_test, late_requests_never_may_have_more) {
+TEST(prompt_backlog_limits_test, late_requests_never_have_a_higher_limit) {
   const prompt_backlog_limits limits;
   for (int routers = 0; routers < 400; ++routers) {
     EXPECT_LE(limits.router_limit(true, routers),
--- a/test/decide-test/request_count_filter_test.cpp
+++ b/test/decide-test/request_count_filter_test.cpp
@@ -5,7 +5,7 @@
 namespace boragehill::decide {
 namespace {
 
-TEST(view_filter_test, tells_only_what_changes_a_choice) {
+TEST(request_count_filter_test, reports_only_changes_that_affect_the_choice) {
   EXPECT_FALSE(is_significant_change(0, 2));
   EXPECT_TRUE(is_significant_change(0, 3));
   EXPECT_FALSE(is_significant_change(20, 23));
@@ -14,19 +14,19 @@
   EXPECT_TRUE(is_significant_change(5, 0));
 }
 
-TEST(view_filter_test, a_busy_fleet_tells_a_fraction_of_its_changes) {
+TEST(request_count_filter_test, reports_few_changes_under_steady_load) {
   // The number of requests at a worker varies in steps of one around a steady
   // load.
-  int told = 10;
-  int news = 0;
+  int reported = 10;
+  int report_count = 0;
   int requests = 10;
   for (int step = 0; step < 1000; ++step) {
     requests += step % 4 < 2 ? 1 : -1;
-    if (!is_significant_change(told, requests)) continue;
-    told = requests;
-    ++news;
+    if (!is_significant_change(reported, requests)) continue;
+    reported = requests;
+    ++report_count;
   }
-  EXPECT_LT(news, 20);
+  EXPECT_LT(report_count, 20);
 }
 
 }  // namespace
--- a/test/decide-test/response_size_test.cpp
+++ b/test/decide-test/response_size_test.cpp
@@ -5,18 +5,18 @@
 namespace boragehill::decide {
 namespace {
 
-TEST(answer_size_test, reckons_with_the_most_without_a_hint) {
+TEST(response_size_test, uses_the_maximum_without_a_hint) {
   EXPECT_EQ((response_size{.max_tokens = 300}).safe_tokens(), 300);
   EXPECT_EQ(response_size{}.safe_tokens(), 0);
 }
 
-TEST(answer_size_test, reckons_with_a_multiple_of_the_hint) {
+TEST(response_size_test, uses_a_multiple_of_the_hint) {
   // Guards against rejecting all requests because of the few responses that
   // reach their maximum length.
   EXPECT_EQ((response_size{.max_tokens = 300, .hint = 20}).safe_tokens(), 120);
 }
 
-TEST(answer_size_test, reckons_with_no_more_than_the_most) {
+TEST(response_size_test, never_exceeds_the_maximum) {
   EXPECT_EQ((response_size{.max_tokens = 300, .hint = 100}).safe_tokens(), 300);
   EXPECT_EQ(
       (response_size{.max_tokens = 300, .hint = 2000000000}).safe_tokens(),
--- a/test/decide-test/server_choice_test.cpp
+++ b/test/decide-test/server_choice_test.cpp
@@ -7,29 +7,29 @@
 namespace boragehill::decide {
 namespace {
 
-constexpr int any_unread = std::numeric_limits<int>::max();
+constexpr int no_backlog_limit = std::numeric_limits<int>::max();
 
-TEST(server_choice_test, spreads_a_busy_model_evenly_over_its_replicas) {
+TEST(server_choice_test, distributes_a_busy_model_evenly_over_its_replicas) {
   // One router sends 60 requests for a model with five replicas. With a random
   // choice the fullest gets far more than its share and its responses are late.
   std::vector<server_candidate> servers(5, server_candidate{.slots = 64});
   for (std::uint64_t request = 0; request < 60; ++request) {
     const auto chosen =
-        choose_server(servers, 0.25, any_unread, request * 7919);
+        choose_server(servers, 0.25, no_backlog_limit, request * 7919);
     ASSERT_TRUE(chosen);
     ++servers[*chosen].own_requests;
   }
-  for (const auto& each : servers) EXPECT_EQ(each.own_requests, 12);
+  for (const auto& server : servers) EXPECT_EQ(server.own_requests, 12);
 }
 
-TEST(server_choice_test, counts_what_other_routers_have_there) {
+TEST(server_choice_test, counts_requests_of_other_routers) {
   const std::vector<server_candidate> servers{
       {.own_requests = 0, .other_requests = 30, .slots = 64},
       {.own_requests = 5, .other_requests = 0, .slots = 64}};
-  EXPECT_EQ(choose_server(servers, 0.25, any_unread, 0), 1U);
+  EXPECT_EQ(choose_server(servers, 0.25, no_backlog_limit, 0), 1U);
 }
 
-TEST(server_choice_test, spreads_prompts_that_come_in_a_clump) {
+TEST(server_choice_test, distributes_a_burst_of_prompts) {
   // Three callers send long prompts within a few milliseconds. If the worker
   // with the fewest requests gets all of them, they pause all its streams for a
   // quarter of a second.
@@ -37,7 +37,7 @@
   servers[1].own_requests = 8;
   servers[2].own_requests = 9;
   for (int request = 0; request < 3; ++request) {
-    const auto chosen = choose_server(servers, 0.25, any_unread, 0);
+    const auto chosen = choose_server(servers, 0.25, no_backlog_limit, 0);
     ASSERT_TRUE(chosen);
     EXPECT_EQ(servers[*chosen].prompt_backlog_tokens, 0);
     ++servers[*chosen].own_requests;
@@ -45,29 +45,29 @@
   }
 }
 
-TEST(server_choice_test, prefers_the_near_one_only_among_equals) {
+TEST(server_choice_test, prefers_a_local_server_only_among_equals) {
   std::vector<server_candidate> servers{{.slots = 64},
                                         {.slots = 64, .local = true}};
-  EXPECT_EQ(choose_server(servers, 0.25, any_unread, 0), 1U);
+  EXPECT_EQ(choose_server(servers, 0.25, no_backlog_limit, 0), 1U);
   servers[1].own_requests = 10;
-  EXPECT_EQ(choose_server(servers, 0.25, any_unread, 0), 0U);
+  EXPECT_EQ(choose_server(servers, 0.25, no_backlog_limit, 0), 0U);
 }
 
-TEST(server_choice_test, uses_a_suspect_only_where_nothing_else_has_room) {
+TEST(server_choice_test, uses_a_suspected_server_only_if_all_others_are_full) {
   std::vector<server_candidate> servers{{.slots = 2, .suspected = true},
                                         {.own_requests = 1, .slots = 2}};
-  EXPECT_EQ(choose_server(servers, 0, any_unread, 0), 1U);
+  EXPECT_EQ(choose_server(servers, 0, no_backlog_limit, 0), 1U);
   servers[1].own_requests = 2;
-  EXPECT_EQ(choose_server(servers, 0, any_unread, 0), 0U);
+  EXPECT_EQ(choose_server(servers, 0, no_backlog_limit, 0), 0U);
   servers[0].own_requests = 2;
-  EXPECT_EQ(choose_server(servers, 0, any_unread, 0), std::nullopt);
+  EXPECT_EQ(choose_server(servers, 0, no_backlog_limit, 0), std::nullopt);
 }
 
-TEST(server_choice_test, finds_nothing_among_none) {
-  EXPECT_EQ(choose_server({}, 0.25, any_unread, 5), std::nullopt);
+TEST(server_choice_test, returns_nothing_without_candidates) {
+  EXPECT_EQ(choose_server({}, 0.25, no_backlog_limit, 5), std::nullopt);
 }
 
-TEST(server_choice_test, late_requests_leave_room_for_those_in_time) {
+TEST(server_choice_test, late_requests_leave_capacity_for_those_in_time) {
   // A busy model is loaded again after a restart, and a hundred requests wait
   // for it that are late already. Sent all at once, their prompts kept its
   // worker busy for two seconds, and new requests were late as well.
@@ -81,7 +81,7 @@
   }
   EXPECT_GT(sent, 1);
   EXPECT_LT(sent, 10);
-  EXPECT_TRUE(choose_server(servers, 0.25, any_unread, 0));
+  EXPECT_TRUE(choose_server(servers, 0.25, no_backlog_limit, 0));
   servers[0].prompt_backlog_tokens = 0;
   EXPECT_TRUE(choose_server(servers, 0.25, 2000, 0));
 }
--- a/test/decide-test/shutdown_gate_test.cpp
+++ b/test/decide-test/shutdown_gate_test.cpp
@@ -8,54 +8,55 @@
 namespace {
 
 const time_point begin{std::chrono::seconds(100)};
-const milliseconds long_one =
+const milliseconds long_response =
     response_time_estimate().max_response_time(600, begin);
-const milliseconds short_one =
+const milliseconds short_response =
     response_time_estimate().max_response_time(100, begin);
-const milliseconds plain = response_time_estimate().max_response_time(0, begin);
+const milliseconds plain_call =
+    response_time_estimate().max_response_time(0, begin);
 
-TEST(stop_gate_test, refuses_a_late_generation_instead_of_cutting_it) {
+TEST(shutdown_gate_test, rejects_a_late_generation_that_would_be_cut_off) {
   // A router gets SIGTERM while the rest of its zone is busy, and callers still
   // reach it six seconds later. A request accepted then is cut off when the
   // process ends; a rejected one is served by another router.
   shutdown_gate gate;
-  EXPECT_FALSE(gate.rejects(long_one, begin));
+  EXPECT_FALSE(gate.rejects(long_response, begin));
   gate.begin_shutdown(begin, begin + std::chrono::seconds(8));
-  EXPECT_FALSE(gate.rejects(long_one, begin + std::chrono::seconds(2)));
-  EXPECT_TRUE(gate.rejects(long_one, begin + std::chrono::seconds(3)));
+  EXPECT_FALSE(gate.rejects(long_response, begin + std::chrono::seconds(2)));
+  EXPECT_TRUE(gate.rejects(long_response, begin + std::chrono::seconds(3)));
 }
 
-TEST(stop_gate_test, serves_what_surely_ends_in_time) {
+TEST(shutdown_gate_test, serves_requests_that_surely_end_in_time) {
   // During a quick succession of router shutdowns all of them shut down at the
   // same time for some seconds: a rejected caller reaches only other routers
   // that reject it.
   shutdown_gate gate;
   gate.begin_shutdown(begin, begin + std::chrono::seconds(8));
-  EXPECT_FALSE(gate.rejects(short_one, begin + std::chrono::seconds(5)));
-  EXPECT_TRUE(gate.rejects(short_one, begin + milliseconds(6200)));
-  EXPECT_FALSE(gate.rejects(plain, begin + std::chrono::seconds(6)));
-  EXPECT_TRUE(gate.rejects(plain, begin + milliseconds(7500)));
+  EXPECT_FALSE(gate.rejects(short_response, begin + std::chrono::seconds(5)));
+  EXPECT_TRUE(gate.rejects(short_response, begin + milliseconds(6200)));
+  EXPECT_FALSE(gate.rejects(plain_call, begin + std::chrono::seconds(6)));
+  EXPECT_TRUE(gate.rejects(plain_call, begin + milliseconds(7500)));
 }
 
-TEST(stop_gate_test, refuses_what_starts_too_late_though_it_came_in_time) {
+TEST(shutdown_gate_test, rejects_a_request_that_has_waited_too_long) {
   // Guards against responses that are cut off because their requests have
   // waited for a server.
   shutdown_gate gate;
   gate.begin_shutdown(begin, begin + std::chrono::seconds(8));
-  const auto came = begin + std::chrono::seconds(1);
-  EXPECT_FALSE(gate.rejects(short_one, came));
-  EXPECT_FALSE(gate.rejects(short_one, came + milliseconds(5000)));
-  EXPECT_TRUE(gate.rejects(short_one, came + milliseconds(5200)));
+  const auto arrival = begin + std::chrono::seconds(1);
+  EXPECT_FALSE(gate.rejects(short_response, arrival));
+  EXPECT_FALSE(gate.rejects(short_response, arrival + milliseconds(5000)));
+  EXPECT_TRUE(gate.rejects(short_response, arrival + milliseconds(5200)));
 }
 
-TEST(stop_gate_test, takes_nothing_in_the_last_moment) {
+TEST(shutdown_gate_test, rejects_all_requests_just_before_the_end) {
   // A router in shutdown has no open request and ends; a request that it read
   // in between was sent to a worker and cut off 160 ms later.
   shutdown_gate gate;
   gate.begin_shutdown(begin, begin + std::chrono::seconds(8));
-  EXPECT_FALSE(gate.rejects(plain, begin + std::chrono::seconds(5)));
+  EXPECT_FALSE(gate.rejects(plain_call, begin + std::chrono::seconds(5)));
   gate.reject_all();
-  EXPECT_TRUE(gate.rejects(plain, begin + std::chrono::seconds(5)));
+  EXPECT_TRUE(gate.rejects(plain_call, begin + std::chrono::seconds(5)));
 }
 
 }  // namespace
