--- a/src/decide/next_order.cpp
+++ b/src/decide/next_order.cpp
@@ -120,7 +120,6 @@
   if (report.busy || !loading.empty()) return std::nullopt;
   // Adapters first: they load in milliseconds.
   if (auto order = next_adapter_order(report, target, service)) return order;
-
   return next_model_order(report, target, service);
 }
 
--- a/src/decide/response_progress.cpp
+++ b/src/decide/response_progress.cpp
@@ -32,9 +32,9 @@
 void response_progress::on_response_started(int prompt_tokens, time_point now) {
   const auto gap =
       std::chrono::duration_cast<milliseconds>(now - this->waiting_since());
-  if (this->started == 0 && gap <= max_stall_timeout)
+  if (this->started == 0 && gap <= max_stall_timeout) {
     this->first_byte_times.add(gap);
-
+  }
   this->on_unstarted_request_removed(prompt_tokens);
   ++this->started;
   this->last_data = now;
--- a/src/decide/server_choice.cpp
+++ b/src/decide/server_choice.cpp
@@ -41,9 +41,9 @@
   for (std::size_t step = 0; step < count; ++step) {
     const std::size_t index = (step + random % count) % count;
     const auto& server = candidates[index];
-    if (server.slots <= 0 || is_full(server, queue_share, max_backlog_tokens))
+    if (server.slots <= 0 || is_full(server, queue_share, max_backlog_tokens)) {
       continue;
-
+    }
     const double cost = cost_of(server);
     if (best && cost >= best_cost) continue;
     best = index;
--- a/src/decide/shutdown_gate.cpp
+++ b/src/decide/shutdown_gate.cpp
@@ -11,9 +11,9 @@
                             time_point start) const {
   if (this->is_rejecting_all) return true;
   if (!this->shutdown_start ||
-      start < *this->shutdown_start + balancer_removal_time)
+      start < *this->shutdown_start + balancer_removal_time) {
     return false;
-
+  }
   return start + response_time >= this->shutdown_end;
 }
 
--- a/src/decide/stall_detector.cpp
+++ b/src/decide/stall_detector.cpp
@@ -19,9 +19,9 @@
 
 stall_detector::transition stall_detector::update(time_point now) {
   if (this->suspected_since) {
-    if (this->progress.last_data_time() <= *this->suspected_since)
+    if (this->progress.last_data_time() <= *this->suspected_since) {
       return transition::none;
-
+    }
     this->probes_without_progress = 0;
     this->clear_suspicion();
     return transition::recovered;
--- a/src/decide/worker_orders.cpp
+++ b/src/decide/worker_orders.cpp
@@ -38,9 +38,9 @@
   this->loading_model.clear();
   this->loaded_sequence = 0;
   this->not_before = now;
-  if (this->unanswered_order)
+  if (this->unanswered_order) {
     this->remember_unanswered(*this->unanswered_order, now);
-
+  }
   std::erase_if(this->orphaned_orders,
                 [now](const auto& delayed) { return delayed.until <= now; });
   std::move(this->unconfirmed_orders.begin(), this->unconfirmed_orders.end(),
@@ -83,9 +83,9 @@
   // id, so the server name in the order would not prevent its execution.
   const bool both_known =
       this->target_incarnation != 0 && this->report->born != 0;
-  if (both_known && this->target_incarnation != this->report->born)
+  if (both_known && this->target_incarnation != this->report->born) {
     return std::nullopt;
-
+  }
   const auto order = next_order(*this->report, this->loading_model,
                                 this->target, this->available_capacity(now));
   if (!order) return std::nullopt;
