--- a/src/decide/load_decision.hpp
+++ b/src/decide/load_decision.hpp
@@ -20,7 +20,7 @@
   milliseconds load_time{0};
   bool from_store = false;
   /// Waiting time over all requests, in seconds.
-  double cost_s = 0;
+  double cost_seconds = 0;
   /// Requests that wait for the model, and requests that are at workers.
   int waiting = 0;
   int in_flight = 0;
--- a/src/decide/planner_settings.hpp
+++ b/src/decide/planner_settings.hpp
@@ -41,12 +41,12 @@
   /// Minimum waiting time in seconds that a load into free memory must save:
   /// about one request in two minutes that would otherwise wait for a load from
   /// disk.
-  double min_preload_gain_s = 0.05;
+  double min_preload_gain_seconds = 0.05;
   /// A loaded model counts as idle if its eviction cost is below this, in
   /// seconds: about one request in fifty seconds that would wait for the disk.
   /// Models without a local copy are prefetched in place of idle models; 0
   /// disables this.
-  double max_idle_eviction_cost_s = 0.2;
+  double max_idle_eviction_cost_seconds = 0.2;
   /// A load is given up when it takes longer than its expected time by this
   /// factor.
   int give_up_factor = 4;
--- a/src/decide/residency_planner.cpp
+++ b/src/decide/residency_planner.cpp
@@ -450,7 +450,7 @@
                                  .evicted_models = chosen.evictions,
                                  .load_time = chosen.load_time,
                                  .from_store = chosen.from_store,
-                                 .cost_s = chosen.cost_seconds,
+                                 .cost_seconds = chosen.cost_seconds,
                                  .waiting = demand.waiting,
                                  .in_flight = demand.in_flight,
                                  .replicas = this->replica_count(model.name)});
--- a/src/decide/residency_prefetch.cpp
+++ b/src/decide/residency_prefetch.cpp
@@ -34,8 +34,8 @@
     if (!this->may_start_load(worker, service, now)) continue;
     if (this->queued_load_time.contains(id)) continue;
     auto found = this->evaluate_worker(model, id, worker, true, now);
-    if (!found ||
-        found->eviction_cost_seconds >= this->settings.max_idle_eviction_cost_s)
+    if (!found || found->eviction_cost_seconds >=
+                      this->settings.max_idle_eviction_cost_seconds)
       continue;
     if (!best || found->cost_seconds < best->cost_seconds)
       best = std::move(found);
--- a/src/decide/residency_preload.cpp
+++ b/src/decide/residency_preload.cpp
@@ -74,7 +74,7 @@
     if (worker.free_memory_mb < model.weights_mb) continue;
     if (worker.has_target_model(model.name)) continue;
     const double gain = this->replica_gain_seconds(model, now);
-    if (gain <= this->settings.min_preload_gain_s) continue;
+    if (gain <= this->settings.min_preload_gain_seconds) continue;
     const load_choice found{
         .worker = worker.list_entry.id,
         .model = &model,
--- a/src/serve/entry_settings.cpp
+++ b/src/serve/entry_settings.cpp
@@ -32,10 +32,10 @@
   planner.first_report_timeout = section.duration(
       "acquaint_ms", planner.first_report_timeout, milliseconds(0), longest);
   constexpr double most_loss_s = 1000000;
-  planner.min_preload_gain_s =
-      section.real("stock_gain_s", planner.min_preload_gain_s, 0, most_loss_s);
-  planner.max_idle_eviction_cost_s = section.real(
-      "idle_loss_s", planner.max_idle_eviction_cost_s, 0, most_loss_s);
+  planner.min_preload_gain_seconds = section.real(
+      "stock_gain_s", planner.min_preload_gain_seconds, 0, most_loss_s);
+  planner.max_idle_eviction_cost_seconds = section.real(
+      "idle_loss_s", planner.max_idle_eviction_cost_seconds, 0, most_loss_s);
 }
 
 void read_budget(kernel::settings_document& document,
--- a/src/serve/planner_duty.cpp
+++ b/src/serve/planner_duty.cpp
@@ -274,7 +274,7 @@
                      {"victims", victims},
                      {"load_ms", move.load_time.count()},
                      {"from_store", move.from_store},
-                     {"cost_s", move.cost_s},
+                     {"cost_s", move.cost_seconds},
                      {"waiting", move.waiting},
                      {"flying", move.in_flight},
                      {"replicas", move.replicas}});
