--- a/src/decide/demand_report.hpp
+++ b/src/decide/demand_report.hpp
@@ -9,8 +9,8 @@
 
 namespace boragehill::decide {
 
-/// Demand report of one router to the planner. `demands` covers the time since
-/// the last report, `in_flight` is the current state.
+/// Requests and server states that one router reports to the planner. `demands`
+/// covers the time since the last report, `in_flight` is the current state.
 struct demand_report {
   std::vector<model_demand> demands;
   std::vector<model_in_flight> in_flight;
--- a/src/decide/load_decision.hpp
+++ b/src/decide/load_decision.hpp
@@ -19,7 +19,8 @@
   std::vector<std::string> evicted_models;
   milliseconds load_time{0};
   bool from_store = false;
-  /// Waiting time over all requests, in seconds.
+  /// Expected cost in seconds of waiting, summed over all requests; negative
+  /// for a preload, whose gain it is.
   double cost_seconds = 0;
   /// Requests that wait for the model, and requests that are at workers.
   int waiting = 0;
--- a/src/decide/planned_worker.hpp
+++ b/src/decide/planned_worker.hpp
@@ -34,7 +34,7 @@
   /// is on disk.
   std::unordered_map<std::string, bool> local_copies;
   /// True if the routers with requests in flight there receive nothing from it.
-  /// This and the following members are recomputed in each step, except
+  /// Recomputed in each step, like the following members except
   /// `resident_since`.
   bool is_unresponsive = false;
   /// Free accelerator memory in megabytes.
--- a/src/decide/planner_loss_detector.hpp
+++ b/src/decide/planner_loss_detector.hpp
@@ -5,17 +5,18 @@
 
 namespace boragehill::decide {
 
-/// Decides when a router considers the planner named in the store as lost.
+/// Decides when a router considers the planner named by the `planner_row` lost.
 ///
 /// After a power loss of all machines, three of four routers read the row of
 /// the previous planner and tried for 0.5 s to connect to it, while its own
 /// router had restarted and led; their models were loaded 0.7 s later. So a
 /// connection attempt is short, and the row is read again afterwards. One lost
 /// packet causes the same failure and must not replace a healthy planner, so
-/// the planner is lost at the second failure.
+/// the planner is considered lost at the second failure to connect.
 class planner_loss_detector {
  public:
-  /// The connection to the planner of a term ended or could not be made.
+  /// Records that the connection to the planner of a term ended or could not be
+  /// made.
   /// \param was_connected True if the connection had been established.
   /// \return True if that planner is to be replaced.
   bool on_link_ended(std::int64_t term, bool was_connected) {
@@ -24,7 +25,7 @@
     return was_connected || failed_before;
   }
 
-  /// The connection to a planner was established.
+  /// Forgets an earlier failure after a connection was established.
   void on_connected() { this->unreached_term = no_term; }
 
  private:
--- a/src/decide/planner_settings.hpp
+++ b/src/decide/planner_settings.hpp
@@ -8,9 +8,8 @@
 /// Limits of the residency planner.
 struct planner_settings {
   /// Concurrent loads from the weight store until measured load times show how
-  /// many it serves at full speed. Starting with two tells a store that serves
-  /// one load from a store that serves more; if it serves only one, this costs
-  /// the time of a second load.
+  /// many it serves at full speed. Two loads show whether it serves more than
+  /// one; if it does not, this costs the time of a second load.
   int initial_store_loads = 2;
   /// A model with fewer requests per replica is not scaled out: below this, a
   /// batch step of a worker takes hardly longer than on an idle worker.
@@ -47,8 +46,8 @@
   /// Models without a local copy are prefetched in place of idle models; 0
   /// disables this.
   double max_idle_eviction_cost_seconds = 0.2;
-  /// A load is given up when it takes longer than its expected time by this
-  /// factor.
+  /// A load is given up when it takes longer than its expected time multiplied
+  /// by this factor, plus 3 s.
   int give_up_factor = 4;
 
   bool operator==(const planner_settings&) const = default;
--- a/src/decide/residency_planner.cpp
+++ b/src/decide/residency_planner.cpp
@@ -220,10 +220,10 @@
     if (!service.has_engine) continue;
     this->update_eviction_candidates(service, now);
     this->wanted_store_loads.clear();
-    const auto unplaced = this->load_waiting_models(service, now);
+    const auto not_started = this->load_waiting_models(service, now);
     this->scale_out_busy_models(service, now);
     this->start_store_loads(service, now);
-    this->estimate_delayed_loads(service, unplaced, now);
+    this->estimate_delayed_loads(service, not_started, now);
     this->preload_free_memory(service, now);
     this->prefetch_missing_copies(service, now);
     this->place_adapters(service, now);
@@ -250,7 +250,7 @@
               }
               return left_demand.oldest_wait > right_demand.oldest_wait;
             });
-  std::vector<const fleet::model*> unplaced;
+  std::vector<const fleet::model*> not_started;
   for (const auto* model : requested) {
     const auto chosen = this->choose_worker(
         service, *model, std::numeric_limits<double>::max(), now);
@@ -258,18 +258,18 @@
       this->start_load(*chosen, "wake", now);
       continue;
     }
-    unplaced.push_back(model);
+    not_started.push_back(model);
     if (!chosen) continue;
     const auto requests_in_window =
         this->demand_by_model.at(model->name).recent_arrivals.value(now);
     this->wanted_store_loads.push_back({model, "wake", requests_in_window});
   }
-  return unplaced;
+  return not_started;
 }
 
 void residency_planner::estimate_delayed_loads(
     const fleet::service& service,
-    const std::vector<const fleet::model*>& unplaced, time_point now) {
+    const std::vector<const fleet::model*>& not_started, time_point now) {
   std::map<std::string, time_point> free_at;
   for (const auto& [id, worker] : this->workers_by_id) {
     const bool is_usable = worker.list_entry.service == service.name &&
@@ -288,7 +288,7 @@
     ready_time->second = std::min(ready_time->second, free_from);
   }
   auto slot_free_times = this->store_slot_free_times(now);
-  for (const auto* model : unplaced) {
+  for (const auto* model : not_started) {
     // A load from the store was started in this step.
     if (this->replica_count(model->name) > 0) continue;
     std::string soonest_worker;
@@ -382,8 +382,8 @@
     if (found && (!best || found->cost_seconds < best->cost_seconds))
       best = std::move(found);
   }
-  // The best worker must finish a running load first. It is still sooner than
-  // starting a longer load elsewhere now.
+  // The best worker must finish a running load first. The model is still ready
+  // sooner there than after a longer load that starts elsewhere now.
   if (best && !this->may_start_load(this->workers_by_id.at(best->worker),
                                     service, now)) {
     // Models considered later see this worker occupied for longer.
--- a/src/decide/residency_planner.hpp
+++ b/src/decide/residency_planner.hpp
@@ -25,13 +25,12 @@
 /// Decides which worker holds which models and adapters, optimizing over all
 /// workers at once.
 ///
-/// Most requests go to a few models, and which ones changes within seconds. The
-/// many other models are each requested occasionally, and not all models fit
-/// into memory at the same time. So a requested model that is not loaded
-/// anywhere is loaded on demand on the worker that can have it ready soonest,
-/// evicting the models with the lowest eviction cost over the whole fleet. A
-/// busy model gets a further replica while that reduces the load of its current
-/// workers.
+/// Most requests go to a few models, and the set of these models changes within
+/// seconds. The many others are each requested occasionally and about equally
+/// often, and not all models fit into memory. So a requested model that is not
+/// loaded anywhere is loaded on demand where it is ready soonest, evicting the
+/// models with the lowest eviction cost in the fleet. A busy model gets a
+/// further replica if that reduces the load of its current workers.
 ///
 /// Its targets are advisory: a second planner, an outdated view or no planner
 /// at all violate no guarantee, since the agent of each worker enforces the
@@ -48,8 +47,8 @@
   void start(time_point now);
   void on_report(const std::string& server, const fleet::worker_report& report,
                  time_point now);
-  /// The agent of the worker cannot reach it: none of its models can serve
-  /// requests.
+  /// Clears the state of a worker that its agent cannot reach: none of its
+  /// models can serve requests.
   void on_worker_unreachable(const std::string& server);
   void on_demand_report(const std::string& router, const demand_report& report,
                         time_point now);
@@ -76,7 +75,8 @@
   struct wanted_store_load {
     const fleet::model* model = nullptr;
     const char* reason = "";
-    /// Requests for the model within the window over which arrivals count.
+    /// Requests for the model within the window of 15 s over which arrivals
+    /// count.
     double requests_in_window = 0;
   };
 
@@ -86,7 +86,7 @@
   static constexpr double horizon_seconds = 5;
 
   void aggregate_reports(time_point now);
-  /// Marks workers as unresponsive from which no router receives anything.
+  /// Marks workers from which no router receives anything as unresponsive.
   ///
   /// Otherwise a worker whose machine stalls for seconds stays in use as long
   /// as the last report of its agent counts (1.5 s), while its callers time out
@@ -106,20 +106,22 @@
       const std::vector<std::string>& evicted, time_point now);
   const fleet::model* find_model(const std::string& name) const;
   void update_pending_load(planned_worker& worker, time_point now);
-  /// \return Requested models that cannot be loaded now.
+  /// Starts loads of requested models that are not loaded on any worker, and
+  /// collects the store loads that they need.
+  /// \return The models for which no load was started.
   std::vector<const fleet::model*> load_waiting_models(
       const fleet::service& service, time_point now);
   /// Starts the wanted store loads in the order of their request counts.
   ///
-  /// After a restart of all routers and workers the first requests are for rare
-  /// models without a local copy. They occupied the store for the next 15 s,
+  /// After a restart of all routers and workers the first requests may be for
+  /// rare models without a local copy. Their loads occupied the store for 15 s,
   /// and the busiest model, requested 100 times per second, stayed at one
   /// replica for the rest of the run.
   void start_store_loads(const fleet::service& service, time_point now);
-  /// Estimates when models will be ready that wait for a worker to be free.
-  void estimate_delayed_loads(const fleet::service& service,
-                              const std::vector<const fleet::model*>& unplaced,
-                              time_point now);
+  /// Estimates when models that wait for a free worker will be ready.
+  void estimate_delayed_loads(
+      const fleet::service& service,
+      const std::vector<const fleet::model*>& not_started, time_point now);
   void scale_out_busy_models(const fleet::service& service, time_point now);
   /// Adds a replica of a busy model.
   void scale_out(const fleet::service& service, const fleet::model& model,
@@ -136,8 +138,8 @@
   /// so a load there was always slower than the next one from the disk of an
   /// old worker.
   void preload_free_memory(const fleet::service& service, time_point now);
-  /// Loads models that no worker has a copy of from the store before they are
-  /// requested, while no request needs the store.
+  /// Loads models without a local copy on any worker from the store before they
+  /// are requested, while no request needs the store.
   ///
   /// Half of the models fit on the workers at the start, and the others are
   /// requested occasionally. The first request for each of them waited 9 s for
@@ -152,7 +154,7 @@
   std::optional<load_choice> find_idle_worker(const fleet::service& service,
                                               const fleet::model& model,
                                               time_point now) const;
-  /// \return Idle workers with enough free memory for a model.
+  /// \return Idle workers with enough free memory for the smallest model.
   std::vector<const planned_worker*> workers_with_free_memory(
       const fleet::service& service, time_point now) const;
   /// \return The model with the highest replica gain that fits into the free
@@ -189,10 +191,11 @@
   bool may_start_load(const planned_worker& worker,
                       const fleet::service& service, time_point now) const;
   int active_store_loads() const;
-  /// Updates the concurrency limit of the store from the loads in progress.
+  /// Records how many store loads run concurrently, and handles overdue ones.
   void observe_store_loads(time_point now);
   void on_store_load_finished(planned_load& load, time_point now);
-  /// A load from the store is past its due time.
+  /// Extends the due time of an overdue load from the store. Beyond the
+  /// tolerance for reporting delays, the load may also lower the limit.
   void on_store_load_overdue(planned_load& load, time_point now);
   /// \return When the store can start further loads, one entry per load slot,
   ///     in ascending order.
--- a/src/decide/residency_preload.cpp
+++ b/src/decide/residency_preload.cpp
@@ -44,7 +44,8 @@
 }
 
 bool residency_planner::may_preload_from_store() const {
-  // One store slot stays free for a model that requests wait for.
+  // One store slot stays free for a model that requests wait for, unless no
+  // other load uses the store.
   const int active_loads = this->active_store_loads();
   return active_loads == 0 || active_loads + 1 < this->store_limit.limit();
 }
--- a/src/decide/store_concurrency_limit.hpp
+++ b/src/decide/store_concurrency_limit.hpp
@@ -19,9 +19,9 @@
 /// the store serves.
 class store_concurrency_limit {
  public:
-  /// A load that takes longer than its nominal time by this factor was slowed
-  /// down by others. Loads that overlap only partly are slowed down by less and
-  /// are not conclusive.
+  /// A load that takes more than its nominal time multiplied by this factor was
+  /// slowed down by others. Loads that overlap only partly are slowed down by
+  /// less and are not conclusive.
   static constexpr double slowdown_threshold = 1.2;
   /// All slots count as used if the mean number of concurrent loads is below
   /// the limit by at most this.
@@ -33,15 +33,17 @@
   /// \param initial Limit until load times have been measured.
   explicit store_concurrency_limit(int initial) : current_limit(initial) {}
 
-  /// A load finished, or has been running for longer than it should.
+  /// Updates the limit after a load finished.
   /// \param nominal Its load time when nothing else is loading.
-  /// \param elapsed Its load time so far.
+  /// \param elapsed Its measured load time.
   /// \param concurrent_loads Mean number of loads running during it, itself
-  /// included.
+  ///     included.
   void on_load_finished(milliseconds nominal, milliseconds elapsed,
                         double concurrent_loads, time_point now);
 
-  /// A load is still running past its due time.
+  /// Lowers the limit if a load that is still running past its due time was
+  /// slowed down by others.
+  /// \param nominal Its load time when nothing else is loading.
   /// \param elapsed Time since it started.
   void on_load_overdue(milliseconds nominal, milliseconds elapsed,
                        double concurrent_loads, time_point now);
--- a/test/decide-test/residency_planner_test.cpp
+++ b/test/decide-test/residency_planner_test.cpp
@@ -328,8 +328,8 @@
      uses_the_store_when_the_queue_for_disk_copies_is_long) {
   // A release replaces most workers by empty ones. All disk copies are on the
   // one worker that is left, and it is loading. Waiting for it looked best for
-  // each model on its own, and drafts came 20 s late while other workers were
-  // idle.
+  // each model on its own, and responses came 20 s late while other workers
+  // were idle.
   simulated_fleet fleet(4, 12);
   std::vector<std::string> models;
   models.reserve(12);
@@ -437,8 +437,8 @@
 
 TEST(residency_planner_test, preloads_a_restarted_worker_from_its_disk) {
   // A worker restarts after a crash with no model loaded and all copies on
-  // disk. The busy model it held is loaded before its callers queue at the
-  // remaining replica.
+  // disk. A requested model is loaded there before its callers wait for it or
+  // queue at another replica.
   simulated_fleet fleet(2, 8);
   fleet.add_models("w0", {"m0", "m1", "m2"});
   fleet.set_disk_copies("w1", {"m0", "m3", "m4"});
@@ -480,8 +480,8 @@
 }
 
 TEST(residency_planner_test, expects_no_ready_time_for_a_loaded_model) {
-  // A busy model is scaled out. Callers that waited briefly for an adapter of
-  // it were told that no worker would have the model in time.
+  // A busy model is scaled out. Callers that waited briefly for one of its
+  // adapters were rejected as if no worker would have the model in time.
   simulated_fleet fleet(3, 8);
   fleet.add_models("w0", {"m0"});
   fleet.set_disk_copies("w1", {"m0"});
