--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -30,8 +30,8 @@
 /// A request that was in flight when a backend server crashed is offered as
 /// exclusive. It runs with no other attempt in flight, so that another crash
 /// identifies its cause, even if the attempts come from different homes. When
-/// an exclusive attempt is rejected because others run, no other attempt starts
-/// for `exclusive_reservation`.
+/// an exclusive attempt is rejected because others run although a slot is free,
+/// only exclusive ones may start for `exclusive_reservation`.
 class admission {
  public:
   explicit admission(attempt_registry_settings settings);
@@ -83,13 +83,14 @@
   /// Returns the number of attempts in the registry.
   std::size_t known_attempts() const { return this->registry.size(); }
 
-  /// How long no other attempt starts after an exclusive one was rejected as
-  /// busy. Its router sends it again well within this time.
+  /// How long only exclusive attempts may start after one of them reserved the
+  /// server. Its router retries it well within this time.
   static constexpr milliseconds exclusive_reservation{1500};
 
  private:
-  /// Returns whether the attempt may start now. Otherwise an exclusive one
-  /// reserves the server.
+  /// Returns whether the attempt may start now. An exclusive one reserves the
+  /// server if a slot is free and only non-exclusive attempts prevent its
+  /// start.
   bool try_start(const attempt_offer& offer, time_point now);
 
   attempt_registry registry;
--- a/src/decide/attempt_registry.hpp
+++ b/src/decide/attempt_registry.hpp
@@ -72,7 +72,8 @@
 
   /// Prevents an attempt that was not seen yet from ever running.
   ///
-  /// \return Its state; never_ran only if it can't run any more.
+  /// \return Its state; never_ran only if it can't run any more, and forgotten
+  ///   also if the tombstone can't be stored.
   attempt_state tombstone(const attempt_id& id, time_point permit_end,
                           time_point now);
 
--- a/src/decide/crash_counter.cpp
+++ b/src/decide/crash_counter.cpp
@@ -26,7 +26,7 @@
   this->entries.erase(fingerprint);
 }
 
-bool crash_counter::is_over_limit(const entry& known, time_point now) {
+bool crash_counter::has_reached_limit(const entry& known, time_point now) {
   return known.crash_count >= crash_limit &&
          now - known.recorded_at <= retention;
 }
@@ -34,14 +34,14 @@
 bool crash_counter::is_quarantined(const std::string& fingerprint,
                                    time_point now) const {
   const auto found = this->entries.find(fingerprint);
-  return found != this->entries.end() && is_over_limit(found->second, now);
+  return found != this->entries.end() && has_reached_limit(found->second, now);
 }
 
 std::vector<std::string> crash_counter::quarantined_requests(
     time_point now) const {
   std::vector<std::string> found;
   for (const auto& [fingerprint, known] : this->entries) {
-    if (is_over_limit(known, now)) found.push_back(fingerprint);
+    if (has_reached_limit(known, now)) found.push_back(fingerprint);
   }
   return found;
 }
--- a/src/decide/crash_counter.hpp
+++ b/src/decide/crash_counter.hpp
@@ -50,7 +50,7 @@
     time_point recorded_at;
   };
 
-  static bool is_over_limit(const entry& known, time_point now);
+  static bool has_reached_limit(const entry& known, time_point now);
   void evict_excess(time_point now);
 
   std::size_t max_requests;
--- a/src/decide/flow_limits.hpp
+++ b/src/decide/flow_limits.hpp
@@ -21,8 +21,8 @@
   /// Time limit of one status query to an agent. No query is sent that could
   /// end after the deadline.
   milliseconds status_query_timeout{500};
-  /// Bound of the first backoff between attempts, before jitter; it doubles
-  /// with each attempt up to the cap.
+  /// Base of the backoff between attempts: the wait after attempt n, counted
+  /// from 1, is at most base * 2^n and at most the cap.
   milliseconds backoff_base{20};
   milliseconds backoff_cap{1000};
   /// Retry-after period of refusals that have no period of their own.
--- a/src/decide/request_flow.cpp
+++ b/src/decide/request_flow.cpp
@@ -76,9 +76,10 @@
   if (code == result_code::ok) {
     return dispatch{this->current_attempt, this->permit};
   }
-  // Without a claim nothing may be dispatched: another router that receives a
-  // retry with the same key would not see this run. On a write conflict another
-  // router holds the claim, and the request may run there.
+  // Nothing was dispatched under this permit, and without a claim nothing may
+  // be: another router that receives a retry with the same key would not see
+  // this run. On a write conflict another router holds the claim, and the
+  // request may run there.
   if (code == result_code::platform_conflict) this->may_have_run = true;
   return this->refuse(code, this->limits.default_retry_after,
                       "the run could not be written down");
--- a/src/decide/request_flow.hpp
+++ b/src/decide/request_flow.hpp
@@ -45,8 +45,8 @@
   /// granted or refused.
   flow_step on_permit(const wire::permit_answer& response, time_point now);
 
-  /// Handles that the current home is unreachable or no longer knows the
-  /// request.
+  /// Handles the loss of the current home: it is unreachable or no longer
+  /// knows the request.
   flow_step on_home_lost(time_point now);
 
   /// Handles the result of writing an idempotency claim.
@@ -69,7 +69,7 @@
   /// \param is_complete True if the complete response was fetched.
   flow_step on_stored_response(bool is_complete, time_point now);
 
-  /// Handles that the caller disconnected before an attempt was sent.
+  /// Handles a disconnect of the caller before an attempt was sent.
   flow_step on_caller_disconnected() const;
 
   /// Continues after a `pause_until` step.
--- a/test/decide-test/attempt_history_test.cpp
+++ b/test/decide-test/attempt_history_test.cpp
@@ -81,15 +81,15 @@
   // Only one worker has the model, and its response to a resumable stream is
   // interrupted. When that worker was excluded as tried, the caller waited 16 s
   // for another one and was refused.
-  attempt_history review(repeat_rule::stream, true, 2);
-  review.on_attempt("a");
-  review.on_possible_run();
-  EXPECT_TRUE(review.may_attempt());
-  EXPECT_FALSE(review.has_tried("a"));
-  EXPECT_TRUE(review.was_interrupted_by("a"));
-  review.on_attempt("a");
-  review.on_possible_run();
-  EXPECT_FALSE(review.may_attempt());
+  attempt_history stream(repeat_rule::stream, true, 2);
+  stream.on_attempt("a");
+  stream.on_possible_run();
+  EXPECT_TRUE(stream.may_attempt());
+  EXPECT_FALSE(stream.has_tried("a"));
+  EXPECT_TRUE(stream.was_interrupted_by("a"));
+  stream.on_attempt("a");
+  stream.on_possible_run();
+  EXPECT_FALSE(stream.may_attempt());
 }
 
 TEST(attempt_history_test, excludes_a_server_that_interrupted_a_lookup) {
--- a/test/decide-test/attempt_registry_test.cpp
+++ b/test/decide-test/attempt_registry_test.cpp
@@ -37,7 +37,7 @@
 
 // A router queries an attempt, gets `never_ran` and reports "not run" to its
 // caller; the attempt was delayed in the network, arrives later and must not
-// run then.
+// run then. It would if the query left no tombstone at the agent.
 TEST(attempt_registry_test, refuses_a_tombstoned_attempt) {
   attempt_registry registry(small_settings);
   EXPECT_EQ(registry.tombstone(id_of(1), at(second), at({})),
@@ -92,7 +92,7 @@
   EXPECT_EQ(registry.retention_horizon(), at(second));
 }
 
-TEST(admission_test, returns_the_reason_of_each_refusal) {
+TEST(attempt_registry_test, admission_returns_the_reason_of_each_refusal) {
   admission gate(small_settings);
   const attempt_offer offer{id_of(1), own_fence, at(second)};
   EXPECT_EQ(gate.decide(offer, result_code::ok, at({})).code,
@@ -113,7 +113,8 @@
   EXPECT_EQ(gate.running(), 0U);
 }
 
-TEST(admission_test, reports_forgotten_for_another_incarnation) {
+TEST(attempt_registry_test,
+     admission_reports_forgotten_for_another_incarnation) {
   admission gate(small_settings);
   gate.set_fencing_number(own_fence);
   const attempt_offer old{id_of(1), own_fence - 1, at(second)};
@@ -188,9 +189,11 @@
   std::set<std::string> seen;
 };
 
-class attempts_property_test : public testing::TestWithParam<std::uint32_t> {};
+class attempt_registry_property_test
+    : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(attempts_property_test, runs_once_and_not_after_reporting_never_ran) {
+TEST_P(attempt_registry_property_test,
+       runs_once_and_not_after_reporting_never_ran) {
   admission gate(small_settings);
   gate.set_fencing_number(own_fence);
   gate.set_slots(4);
@@ -201,10 +204,11 @@
       invariants::never_ran_stays_true(log.reported_never_ran, log.runs));
 }
 
-INSTANTIATE_TEST_SUITE_P(seeds, attempts_property_test,
+INSTANTIATE_TEST_SUITE_P(seeds, attempt_registry_property_test,
                          testing::Range(1U, 201U));
 
-TEST(attempts_checker_test, detects_an_admission_that_forgets_too_early) {
+TEST(attempt_registry_test,
+     invariants_detect_an_admission_that_forgets_too_early) {
   faulty_admission gate;
   const run_log log = run_random_steps(gate, 1);
   EXPECT_FALSE(invariants::attempt_runs_at_most_once(log.runs));
--- a/test/decide-test/crash_attribution_test.cpp
+++ b/test/decide-test/crash_attribution_test.cpp
@@ -23,7 +23,7 @@
 }
 
 TEST(crash_attribution_test,
-     quarantines_the_implicated_one_at_the_second_crash) {
+     quarantines_an_implicated_request_at_its_second_crash) {
   crash_attribution attribution = make_attribution(100);
   EXPECT_TRUE(attribution.on_crash({"poison", "quote"}, start).empty());
   EXPECT_EQ(attribution.evaluate("quote", start),
@@ -38,7 +38,7 @@
 }
 
 TEST(crash_attribution_test,
-     quarantines_none_if_two_implicated_ones_were_in_flight) {
+     quarantines_none_if_two_implicated_requests_were_in_flight) {
   // Guards against quarantining a harmless request: it was in flight at a crash
   // together with the poison request, both were retried, and two homes that
   // don't share their crash counts chose the same server for them.
@@ -64,7 +64,7 @@
 }
 
 TEST(crash_attribution_test,
-     expires_after_the_retention_although_peers_repeat_it) {
+     expires_a_quarantine_although_peers_report_it_again) {
   crash_attribution attribution = make_attribution(100);
   attribution.quarantine("poison", start);
   attribution.quarantine("poison", start + milliseconds{900});
--- a/test/decide-test/request_flow_test.cpp
+++ b/test/decide-test/request_flow_test.cpp
@@ -48,7 +48,7 @@
   return flow.on_attempt(result, now);
 }
 
-TEST(request_flow_test, requests_a_permit_dispatches_and_delivers) {
+TEST(request_flow_test, requests_a_permit_then_dispatches_and_delivers) {
   auto flow = make_flow(make_request(false));
   const auto first = flow.begin(start);
   EXPECT_EQ(as<request_permit>(first).request.attempt, "e.1.1");
@@ -70,8 +70,8 @@
 }
 
 TEST(request_flow_test, uses_a_new_attempt_number_after_a_home_is_lost) {
-  // Otherwise one request could run on two servers: a home taken for lost and
-  // the next home would both grant the same attempt.
+  // Otherwise one request could run on two servers: a home considered lost
+  // and the next home would both grant the same attempt.
   auto flow = make_flow(make_request(false));
   flow.begin(start);
   const auto next = flow.on_home_lost(start);
@@ -310,7 +310,8 @@
 TEST(request_flow_test, reports_the_run_state_correctly_on_random_paths) {
   // For any order of events: a refusal that states "not run" had no run (else
   // the caller retries and the request runs twice), a non-idempotent request
-  // runs at most once, and each request ends by its deadline.
+  // runs at most once, and each request ends by its deadline (else the caller
+  // hangs).
   int refused_count = 0;
   int delivered_count = 0;
   for (std::uint32_t seed = 0; seed < 20000; ++seed) {
