--- a/src/decide/home.hpp
+++ b/src/decide/home.hpp
@@ -27,8 +27,8 @@
 
 class catalog;
 
-/// Queues and dispatches the requests of the targets whose home this router is,
-/// and orders the loads of their models.
+/// Queues and dispatches the requests of the targets (models and pools) whose
+/// home, or owner router, this router is, and orders the loads of their models.
 ///
 /// A state machine without I/O. Events come in through the `on_` functions;
 /// `take_actions` returns what the router has to carry out. It is safe for two
@@ -182,8 +182,8 @@
   void order_deferred_loads(home_target& target, time_point now);
   std::vector<pending_load>::iterator find_pending_load(home_target& target,
                                                         const order_load& load);
-  void ask_for_grants(home_target& target, std::uint32_t count,
-                      const std::string& reason, time_point now);
+  void request_more_grants(home_target& target, std::uint32_t count,
+                           const std::string& reason, time_point now);
   std::uint32_t unresponsive_servers(const home_target& target,
                                      time_point now) const;
   std::uint32_t active_replicas(const home_target& target,
@@ -210,8 +210,8 @@
   /// The target of each waiting attempt, by attempt id.
   std::unordered_map<std::string, std::string> target_by_attempt;
   std::map<std::string, std::uint32_t> in_flight_by_server;
-  /// Servers and targets that have an implicated request in flight. None has
-  /// more than one.
+  /// Servers and targets with an exclusive permit (of an implicated request) in
+  /// use. Each has at most one.
   std::set<std::string> exclusive_servers;
   std::set<std::string> exclusive_targets;
   /// Servers that get no other requests until they are idle, with the attempt
--- a/src/decide/home_action.hpp
+++ b/src/decide/home_action.hpp
@@ -31,7 +31,8 @@
   /// Whether it loads from the weight store, whose concurrent loads are
   /// limited.
   bool from_store = false;
-  /// Time to the earliest deadline of the requests that wait for it.
+  /// Time to the earliest deadline of the requests that wait for it; 0 if none
+  /// waits.
   milliseconds time_left{0};
 
   bool operator==(const order_load&) const = default;
@@ -54,7 +55,8 @@
   /// Servers without a recent report. Their grants do not count.
   std::vector<std::string> uncounted_servers;
   std::string reason;
-  /// Whether no request waits for the model.
+  /// Whether the grants are requested ahead of need: no request waits for the
+  /// model.
   bool is_proactive = false;
 
   bool operator==(const request_grants&) const = default;
--- a/src/decide/home_dispatch.cpp
+++ b/src/decide/home_dispatch.cpp
@@ -118,7 +118,7 @@
   response.control = report.control;
   response.fence = report.incarnation != 0 ? report.incarnation : report.fence;
   response.exclusive = exclusive;
-  // In the agent's clock, so that the agent refuses the attempt if its sender
+  // On the agent's clock, so that the agent refuses the attempt if its sender
   // was paused and it arrives too late.
   response.permit_end_ms =
       chosen.server->agent_clock(now) + this->settings.permit_allowance.count();
--- a/src/decide/home_estimates.cpp
+++ b/src/decide/home_estimates.cpp
@@ -52,8 +52,8 @@
     if (this->can_run(target, *server, {})) slots += server_slots;
   }
   // Before the first replica is ready the queue waits for the one that loads.
-  // If that counted as one slot, most of the first burst for a cold model would
-  // be refused, although a replica runs many requests at once.
+  // If that replica counted as one slot, most of the first burst for a cold
+  // model would be refused, although a replica runs many requests at once.
   if (slots == 0) slots = cold_slots;
   const auto rounds =
       static_cast<std::int64_t>(ahead / std::max<std::uint32_t>(slots, 1));
@@ -82,8 +82,8 @@
 }
 
 void home::refuse_unreachable(home_target& target, time_point now) {
-  // The initial load times are only guesses. Requests are refused by measured
-  // load times alone.
+  // The initial load times are only guesses, so no request is refused before a
+  // load time was measured.
   if (!this->has_measured_load_time(target)) return;
   std::size_t ahead = 0;
   auto at = target.queue.begin();
--- a/src/decide/home_loads.cpp
+++ b/src/decide/home_loads.cpp
@@ -34,10 +34,11 @@
   // row.
   const bool is_own_target = target.has_server_list || !target.queue.empty();
   if (is_own_target && target.servers.size() < wanted) {
-    this->ask_for_grants(target, wanted,
-                         unresponsive == 0 ? "grants ahead of need"
-                                           : "granted servers not heard of",
-                         now);
+    this->request_more_grants(target, wanted,
+                              unresponsive == 0
+                                  ? "grants ahead of need"
+                                  : "granted servers not heard of",
+                              now);
   }
   this->order_deferred_loads(target, now);
   this->load_base_model(target, now);
@@ -103,9 +104,9 @@
   const std::uint32_t max_grants =
       target.spec->max_replicas + this->unresponsive_servers(target, now);
   if (all_used && target.servers.size() < max_grants) {
-    this->ask_for_grants(target,
-                         static_cast<std::uint32_t>(target.servers.size() + 1),
-                         "the queue outlasts its replicas", now);
+    this->request_more_grants(
+        target, static_cast<std::uint32_t>(target.servers.size() + 1),
+        "the queue outlasts its replicas", now);
   }
 }
 
@@ -193,8 +194,8 @@
   }
 }
 
-void home::ask_for_grants(home_target& target, std::uint32_t count,
-                          const std::string& reason, time_point now) {
+void home::request_more_grants(home_target& target, std::uint32_t count,
+                               const std::string& reason, time_point now) {
   const bool requested_recently =
       target.wanted_grants >= count &&
       now - target.grants_requested_at < this->settings.load_confirm_timeout;
--- a/src/decide/home_server.hpp
+++ b/src/decide/home_server.hpp
@@ -26,7 +26,7 @@
               time_point now) {
     const bool has_number = report.fence != 0;
     if (has_number && report.fence < this->last_report.fence) return false;
-    // An agent that restarted while the table is down has no fencing number
+    // An agent that restarted while the table was down has no fencing number
     // yet. The VM's monotonic clock continues across agent restarts, so it
     // shows which report is newer. Only after a reboot is the clock lower, and
     // then the fencing number is higher.
--- a/src/decide/home_target.hpp
+++ b/src/decide/home_target.hpp
@@ -29,15 +29,15 @@
   std::set<waiting_request, by_deadline> queue;
   /// Backend servers that hold a grant; for a pool, its members.
   std::vector<std::string> servers;
-  /// When each of them was added to `servers`.
+  /// When each server was added to `servers`.
   std::map<std::string, time_point> server_added_at;
   /// Whether `servers` was read from the table or the VM list at least once.
   bool has_server_list = false;
   std::vector<pending_load> pending_loads;
   running_mean mean_run_time;
   time_point last_arrival_at;
-  /// The number of grants last requested, so that a burst of requests does not
-  /// request them again and again.
+  /// The number of grants last requested; 0 once they are granted. Keeps a
+  /// burst of requests from requesting them repeatedly.
   std::uint32_t wanted_grants = 0;
   time_point grants_requested_at;
   std::deque<decision_note> notes;
--- a/src/decide/issued_permit.hpp
+++ b/src/decide/issued_permit.hpp
@@ -8,7 +8,8 @@
 
 namespace boragehill::decide {
 
-/// A permit whose attempt has not been reported as ended.
+/// A permit, which lets an entry router run one attempt on one server, whose
+/// attempt has not been reported as ended.
 struct issued_permit {
   wire::permit_request request;
   wire::permit_answer response;
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -36,7 +36,7 @@
   /// Handles a call to a process that succeeded; ends a suspicion.
   void on_call_succeeded(const std::string& id);
 
-  /// Marks a process that reported to be draining. The mark is permanent.
+  /// Marks a process as draining, as it reported. The mark is permanent.
   void on_draining(const std::string& id);
 
   /// Returns the routers of a region that may act as homes, ordered by id.
@@ -49,9 +49,9 @@
   std::vector<vm_info> usable_servers(time_point now) const;
 
   /// Returns whether a VM is removed: for `removal_delay` it was absent from
-  /// the successful list reads and sent no heartbeat. The list lags, so for a
-  /// VM that was never listed the delay starts with the first call of this
-  /// function and the next list read.
+  /// the successful list reads and sent no heartbeat. The list lags, so an
+  /// unknown VM may be new: its delay starts with the first list read after the
+  /// first call of this function.
   bool is_removed(const std::string& id, time_point now);
 
   bool is_suspected(const std::string& id, time_point now) const;
@@ -67,7 +67,7 @@
     vm_info vm;
     bool listed = false;
     std::optional<time_point> heartbeat_at;
-    /// The first of the consecutive list reads that do not contain it.
+    /// Time of the first of the consecutive list reads that lack it.
     std::optional<time_point> unlisted_since;
   };
 
--- a/src/decide/placement_choice.cpp
+++ b/src/decide/placement_choice.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Counts the model's grants by failure domain and region. The domain key
+/// Numbers of the model's grants by failure domain and region. The domain key
 /// includes the region, since two regions may use the same domain names.
 struct grant_counts {
   std::map<std::pair<std::string, std::string>, std::uint32_t> by_domain;
--- a/src/decide/placement_choice.hpp
+++ b/src/decide/placement_choice.hpp
@@ -25,8 +25,9 @@
 ///
 /// A ready replica is preferred to a loading one, and that to a cold one. Of
 /// the cold ones, a server that can make room is preferred to one whose memory
-/// is all in use; then the nearest checkpoint, then free memory to memory that
-/// needs an eviction.
+/// is all in use; then the nearest checkpoint, then a server that need not
+/// evict. Ties go to the server with the fewest running requests, then to the
+/// one with the highest rendezvous weight.
 ///
 /// \return Nothing if no usable server holds a grant.
 std::optional<std::string> choose_load_server(
--- a/src/decide/queued_load.hpp
+++ b/src/decide/queued_load.hpp
@@ -14,7 +14,7 @@
 struct store_load_scheduler_settings {
   /// Maximum number of concurrent remote loads.
   std::uint32_t max_parallel = 4;
-  /// Load time that is assumed until one was measured.
+  /// Load time that is assumed until one is measured.
   milliseconds initial_load_time{20000};
   /// A slot held longer than this is freed.
   milliseconds slot_timeout{300000};
--- a/src/decide/store_load_scheduler.cpp
+++ b/src/decide/store_load_scheduler.cpp
@@ -95,10 +95,10 @@
 }
 
 void store_load_scheduler::release_expired_slots(time_point now) {
-  // An agent that crashes during a load never reports its end. Without the
-  // time-out its slot would stay taken, and after a few crashes no remote load
-  // could start. The time-out is longer than any normal load; if a slow load
-  // exceeds it, one more load shares the store's bandwidth.
+  // An agent that crashes during a load never reports the load's end. Without
+  // the time-out the slot would stay taken, and after a few crashes no remote
+  // load could start. The time-out is longer than any normal load; if a slow
+  // load exceeds it, one more load shares the store's bandwidth.
   std::erase_if(this->slots, [&](const auto& slot) {
     return now - slot.second > this->settings.slot_timeout;
   });
@@ -126,8 +126,8 @@
   const std::size_t slots = std::max<std::size_t>(max_parallel, 1);
   for (milliseconds& span : remaining) span = std::max(span, milliseconds{0});
   std::ranges::sort(remaining);
-  // The limit is soft, so more loads may run than there are slots. The surplus
-  // ones that end first do not free a slot.
+  // The limit is soft, so more loads may run than there are slots. The first
+  // ends only bring the number down to the limit and free no slot.
   if (remaining.size() > slots) {
     const auto surplus = static_cast<std::ptrdiff_t>(remaining.size() - slots);
     remaining.erase(remaining.begin(), remaining.begin() + surplus);
--- a/src/decide/store_load_scheduler.hpp
+++ b/src/decide/store_load_scheduler.hpp
@@ -24,7 +24,8 @@
   explicit store_load_scheduler(store_load_scheduler_settings settings);
 
   /// Queues a load. If the same server and model are queued already, the
-  /// earlier of the two deadlines is kept.
+  /// earlier of the two deadlines is kept. A load that holds a slot is not
+  /// queued again.
   ///
   /// \return False if the queue is full.
   bool enqueue(const queued_load& load);
--- a/test/decide-test/home_test.cpp
+++ b/test/decide-test/home_test.cpp
@@ -94,7 +94,8 @@
 
 TEST(home_test, orders_one_load_for_a_burst_and_then_serves_it) {
   // Guards against one load order for each request when 30 requests arrive at
-  // once for a model that is not loaded.
+  // once for a model that is not loaded: the loads would queue up behind one
+  // another.
   home_fixture fixture;
   fixture.h.on_servers(target, {"s1"}, fixture.now);
   fixture.report("s1", replica_state::cold, 64);
@@ -217,7 +218,7 @@
   fixture.now += milliseconds(3000);
   fixture.report("s1", replica_state::ready, 4, 1, {}, true);
   EXPECT_TRUE(fixture.take_granted().empty())
-      << "the server reported to be draining";
+      << "the server reported that it is draining";
   fixture.report("s1", replica_state::ready);
   EXPECT_EQ(fixture.take_granted(), names{"b"});
   fixture.h.on_draining("s1");
@@ -225,7 +226,7 @@
   EXPECT_EQ(fixture.request("c").state, permit_state::queued);
 }
 
-TEST(home_test, repeats_a_permit_when_the_waiting_entry_renews) {
+TEST(home_test, resends_a_permit_when_the_waiting_entry_renews) {
   // Guards against a request that waits until its deadline beside an idle
   // replica because the message with its permit was lost.
   home_fixture fixture;
@@ -345,7 +346,7 @@
   EXPECT_EQ(replacement[0].uncounted_servers, names{"s1"});
 }
 
-TEST(home_test, keeps_as_many_replicas_warm_as_the_catalog_says) {
+TEST(home_test, keeps_as_many_replicas_warm_as_the_catalog_sets) {
   home_fixture fixture;
   fixture.h.on_servers(target, {"s1"}, fixture.now);
   fixture.report("s1", replica_state::cold);
--- a/test/decide-test/membership_test.cpp
+++ b/test/decide-test/membership_test.cpp
@@ -64,7 +64,8 @@
 
 TEST(membership_test, never_clears_a_draining_mark) {
   // Guards against new requests for a VM that is being reclaimed: it reported
-  // to be draining, but the lagging list shows it as live for some seconds.
+  // that it is draining, but the lagging list shows it as live for some
+  // seconds.
   membership view({});
   view.on_draining("s");
   view.on_vm_list({server("s")}, start);
