--- a/src/decide/eviction.hpp
+++ b/src/decide/eviction.hpp
@@ -38,7 +38,8 @@
 /// \param candidates Idle replicas and adapters.
 /// \param needed Bytes to free; more than 0.
 /// \param now The current time.
-/// \return Its name; nothing if all candidates together free too little.
+/// \return The name of that candidate; nothing if all candidates together free
+///   too little.
 std::optional<std::string> choose_eviction(
     const std::vector<eviction_candidate>& candidates, std::uint64_t needed,
     time_point now);
--- a/src/decide/grant_change.hpp
+++ b/src/decide/grant_change.hpp
@@ -44,8 +44,9 @@
                                          const std::string& model,
                                          const grant_acknowledgement& given_up);
 
-/// Returns the rows with a grant removed whose VM is no longer in the
-/// platform's list and does not respond. No acknowledgement is required.
+/// Returns the rows with the grant on a lost server removed. Requires no
+/// acknowledgement, as the server's VM is no longer in the platform's list and
+/// does not respond.
 ///
 /// \return Nothing if neither row contains the grant.
 std::optional<grant_change> remove_grant_of_lost_server(
--- a/src/decide/memory_ledger.hpp
+++ b/src/decide/memory_ledger.hpp
@@ -27,8 +27,8 @@
   /// Releases the reservation of a name, if there is one.
   void release(const std::string& name);
 
-  /// Sets a name's reservation to what the engine reports, even beyond the
-  /// capacity.
+  /// Sets a name's reservation, even beyond the capacity: an engine may report
+  /// more than that.
   void set_reservation(const std::string& name, std::uint64_t bytes);
 
   std::uint64_t capacity() const { return this->capacity_bytes; }
--- a/src/decide/residency.hpp
+++ b/src/decide/residency.hpp
@@ -90,7 +90,8 @@
   void on_attempt_began(const std::string& model, const std::string& adapter,
                         time_point now);
 
-  /// That attempt ended; called even if the engine restarted meanwhile.
+  /// An attempt passed to `on_attempt_began` ended; called even if the engine
+  /// restarted meanwhile.
   void on_attempt_ended(const std::string& model, const std::string& adapter,
                         time_point now);
 
--- a/src/decide/revision_view.cpp
+++ b/src/decide/revision_view.cpp
@@ -89,28 +89,29 @@
 void revision_view::record_peer_state(const std::string& peer,
                                       const peer_state& latest) {
   peer_state& known = this->peer_states[peer];
-  if (known.asked_at <= latest.asked_at) known = latest;
+  if (known.heartbeat_sent_at <= latest.heartbeat_sent_at) known = latest;
 }
 
 bool revision_view::is_table_presumed_down(
     const std::vector<std::string>& peers, time_point now) const {
-  std::size_t asked = 0;
-  std::size_t asked_recently = 0;
+  std::size_t contacted = 0;
+  std::size_t contacted_recently = 0;
   std::size_t also_unconfirmed = 0;
   for (const std::string& peer : peers) {
     const peer_state* known = this->recent_state(peer, now);
     if (known == nullptr) continue;
-    asked += 1;
-    const auto elapsed = now - known->asked_at;
-    if (elapsed <= this->settings.peer_query_window) asked_recently += 1;
+    contacted += 1;
+    const auto elapsed = now - known->heartbeat_sent_at;
+    if (elapsed <= this->settings.peer_contact_window) contacted_recently += 1;
     if (!known->response) continue;
     if (!this->is_also_unconfirmed(*known, now)) return false;
     also_unconfirmed += 1;
   }
-  const auto required = std::min(peers.size(), this->settings.min_peers_asked);
-  if (asked_recently < required) return false;
+  const auto required =
+      std::min(peers.size(), this->settings.min_peers_contacted);
+  if (contacted_recently < required) return false;
   const double needed =
-      this->settings.min_response_share * static_cast<double>(asked);
+      this->settings.min_response_share * static_cast<double>(contacted);
   return static_cast<double>(also_unconfirmed) >= needed;
 }
 
@@ -118,7 +119,7 @@
     const std::string& peer, time_point now) const {
   const auto found = this->peer_states.find(peer);
   if (found == this->peer_states.end()) return nullptr;
-  const time_point sent_at = found->second.asked_at;
+  const time_point sent_at = found->second.heartbeat_sent_at;
   if (sent_at < this->valid_from) return nullptr;
   if (now - sent_at > this->settings.peer_response_window) return nullptr;
   return &found->second;
@@ -134,7 +135,7 @@
   // The age has grown since the response. Without adding that time, all routers
   // would become unready for one heartbeat interval when their last
   // confirmations before an outage of the table expire together.
-  const auto age = *response.confirmed_age + (now - known.asked_at);
+  const auto age = *response.confirmed_age + (now - known.heartbeat_sent_at);
   return age > this->settings.max_confirmation_age;
 }
 
--- a/src/decide/revision_view.hpp
+++ b/src/decide/revision_view.hpp
@@ -79,7 +79,7 @@
 
  private:
   struct peer_state {
-    time_point asked_at;
+    time_point heartbeat_sent_at;
     /// Nothing if the peer did not respond.
     std::optional<peer_revision> response;
   };
--- a/src/decide/revision_view_types.hpp
+++ b/src/decide/revision_view_types.hpp
@@ -16,16 +16,17 @@
   /// A longer gap between two ticks is taken as a pause of the process.
   milliseconds pause_threshold{3000};
   /// Number of peers (all, if there are fewer) that must have been sent a
-  /// heartbeat within `peer_query_window` before the table is presumed down.
-  std::size_t min_peers_asked = 3;
-  milliseconds peer_query_window{3000};
+  /// heartbeat within `peer_contact_window` before the table is presumed down.
+  std::size_t min_peers_contacted = 3;
+  /// How recent those heartbeats must be.
+  milliseconds peer_contact_window{3000};
   /// Maximum age of a peer's response. Routers send heartbeats to a few peers
   /// at a time, so this spans many rounds.
   milliseconds peer_response_window{10000};
-  /// Fraction of the peers asked within `peer_response_window` that must have
-  /// responded. Below 1, so that a failed peer still listed does not make the
-  /// others unready; above 0.5, so that a router partitioned off with half of
-  /// the fleet becomes unready.
+  /// Fraction of the peers sent a heartbeat within `peer_response_window` that
+  /// must have responded. Below 1, so that a failed peer still listed does not
+  /// make the others unready; above 0.5, so that a router partitioned off with
+  /// half of the fleet becomes unready.
   double min_response_share = 0.75;
 
   bool operator==(const revision_view_settings&) const = default;
--- a/test/decide-test/residency_simulation.hpp
+++ b/test/decide-test/residency_simulation.hpp
@@ -118,8 +118,8 @@
     }
   }
 
-  /// The home processes acknowledgements, with a delay and only those of the
-  /// current agent process.
+  /// Removes the grants that the current agent process gave up, as a home does.
+  /// Called at random times, as acknowledgements arrive late.
   void remove_given_up_grants() {
     for (const auto& [model, serial] : this->agent->given_up()) {
       this->granted_bytes.erase(model);
@@ -246,7 +246,8 @@
     std::uint64_t loaded_bytes = 0;
     for (const auto& [name, model] : this->loaded) {
       loaded_bytes += model.bytes;
-      // Every loaded model must still have its grant in the table.
+      // A loaded model counts as a replica, so the table must contain its
+      // grant.
       this->record_failure(this->result.grants,
                            invariants::loads_only_under_grant(
                                {.kind = order_kind::load, .model = name},
@@ -284,4 +285,4 @@
 
 }  // namespace boragehill::decide
 
-#endif  // BORAGEHILL_TEST_RESIDENCY_WORLD_HPP
+#endif  // BORAGEHILL_TEST_RESIDENCY_SIMULATION_HPP
--- a/test/decide-test/residency_test.cpp
+++ b/test/decide-test/residency_test.cpp
@@ -125,7 +125,7 @@
   EXPECT_TRUE(this->advance_to(second).has_value());
 }
 
-TEST_F(residency_test, fences_an_engine_that_checks_before_the_first_load) {
+TEST_F(residency_test, fences_a_checking_engine_before_the_first_load) {
   this->make({.engine_checks_fence = true});
   this->subject->tick(at({}));
   this->subject->on_engine_state(this->state, at({}));
@@ -153,7 +153,7 @@
 // The response to a load is lost and the next state read shows no load, as the
 // order is still in transit. If its memory were released, a second load could
 // fill it before the first arrives.
-TEST_F(residency_test, keeps_memory_reserved_while_a_load_is_unknown) {
+TEST_F(residency_test, keeps_memory_reserved_while_a_loads_outcome_is_unknown) {
   this->start_up({{"a", 60}, {"b", 60}});
   this->request_load("a", 2 * second);
   const auto order = this->respond_to_reads(2 * second);
@@ -172,7 +172,7 @@
   EXPECT_EQ(this->subject->check_usable("a", ""), result_code::ok);
 }
 
-TEST_F(residency_test, releases_an_unknown_load_after_the_delivery_time) {
+TEST_F(residency_test, releases_an_unconfirmed_load_after_the_delivery_time) {
   this->start_up({{"a", 60}});
   this->request_load("a", 2 * second);
   const auto order = this->respond_to_reads(2 * second);
