--- a/src/decide/draining_servers.hpp
+++ b/src/decide/draining_servers.hpp
@@ -12,7 +12,7 @@
 /// draining.
 ///
 /// The announcement is final for an incarnation of a server. A server list that
-/// shows otherwise is older, or the server could not write to it. So the
+/// shows otherwise is older, or the server could not update it. So the
 /// announcement outlives the server's entry in the list.
 class draining_servers {
  public:
--- a/src/decide/hedge_settings.hpp
+++ b/src/decide/hedge_settings.hpp
@@ -9,7 +9,7 @@
 /// attempt times out.
 struct hedge_settings {
   /// Time after the end of the hold time from which a response is overdue. The
-  /// store answers in 4 ms, and in tens of times that when it is slow.
+  /// store responds in 4 ms, and in tens of times that when it is slow.
   milliseconds overdue_delay{500};
   /// Longest time between two attempts, and twice the shortest, for a request
   /// with a hold time of up to twice this. One with a longer hold time is less
--- a/src/decide/next_order.cpp
+++ b/src/decide/next_order.cpp
@@ -23,15 +23,15 @@
 
 std::size_t count_adapters(const fleet::worker_report& report) {
   std::size_t count = report.coming.size();
-  for (const auto& each : report.models) count += each.adapters.size();
+  for (const auto& resident : report.models) count += resident.adapters.size();
   return count;
 }
 
 std::optional<target_order> unload_unwanted_model(
     const fleet::worker_report& report, const residency_target& target) {
-  for (const auto& each : report.models) {
-    if (contains(target.models, each.name)) continue;
-    return target_order{.what = kind::unload, .model = each.name};
+  for (const auto& resident : report.models) {
+    if (contains(target.models, resident.name)) continue;
+    return target_order{.what = kind::unload, .model = resident.name};
   }
   return std::nullopt;
 }
@@ -53,11 +53,11 @@
 
 std::optional<target_order> unload_unwanted_adapter(
     const fleet::worker_report& report, const residency_target& target) {
-  for (const auto& each : report.models) {
-    for (const auto& adapter : each.adapters) {
-      if (contains(target.adapters, each.name + '/' + adapter)) continue;
+  for (const auto& resident : report.models) {
+    for (const auto& adapter : resident.adapters) {
+      if (contains(target.adapters, resident.name + '/' + adapter)) continue;
       return target_order{
-          .what = kind::unload, .model = each.name, .adapter = adapter};
+          .what = kind::unload, .model = resident.name, .adapter = adapter};
     }
   }
   return std::nullopt;
@@ -97,11 +97,12 @@
 double free_memory_mb(const fleet::worker_report& report,
                       const fleet::service& service) {
   double free_mb = service.weights_mb;
-  for (const auto& each : report.models) {
-    const auto* model = service.find_model(each.name);
+  for (const auto& resident : report.models) {
+    const auto* model = service.find_model(resident.name);
     if (!model) return 0;
     free_mb -= model->weights_mb;
-    free_mb -= model->adapter_mb * static_cast<double>(each.adapters.size());
+    free_mb -=
+        model->adapter_mb * static_cast<double>(resident.adapters.size());
   }
   for (const auto& full_name : report.coming) {
     const auto* model = service.find_model(split_adapter(full_name).first);
--- a/src/decide/prompt_backlog_limits.hpp
+++ b/src/decide/prompt_backlog_limits.hpp
@@ -11,8 +11,9 @@
 /// A worker may process a long prompt for more than a second, and requests sent
 /// meanwhile queue behind it. A request that a server has can't be withdrawn,
 /// since it may run: it can't move to a server that has capacity by then, can't
-/// be rejected as not run, and is lost if the server stalls. A request that
-/// waits in the router can do all of these.
+/// be rejected with the assurance that it has not run, and is lost if the
+/// server stalls. A request that waits in the router can still be moved or
+/// rejected.
 struct prompt_backlog_limits {
   /// Limit for all routers together. A worker processes this many tokens in
   /// half a second, so it is never idle while requests wait in routers.
--- a/src/decide/response_progress.cpp
+++ b/src/decide/response_progress.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Lower bound of the stall timeout between two pieces of data, and the part
-/// added to it for a single stream. While a long prompt is processed each step
-/// takes 70 ms, and an event holds the tokens of several steps. So one stream
-/// may have no event for several steps; of several streams, some stream has one
-/// at each step. A router that has used up its CPU quota pauses for 80 ms.
+/// Lower bound of the stall timeout between two pieces of data: the first time
+/// plus the second divided by the number of streams. Each step takes 70 ms
+/// while a long prompt is processed, and an event holds the tokens of several
+/// steps, so a single stream may have no event for several steps. Several
+/// streams are at different tokens of their events, so one has an event at each
+/// step. A router that has used up its CPU quota pauses for 80 ms.
 constexpr milliseconds min_stream_gap{90};
 constexpr milliseconds single_stream_gap{150};
 /// Lower bound of the stall timeout before the first byte: some round trips
@@ -18,7 +19,8 @@
 constexpr milliseconds min_first_byte_timeout{250};
 /// Far above the 0.03 ms that a worker needs to process a prompt token.
 constexpr double ms_per_prompt_token = 0.1;
-/// Upper bound, however slow the server usually is: callers give up after 2 s.
+/// Upper bound, without the time to process prompts, even for a server that is
+/// usually slow: callers give up after 2 s.
 constexpr milliseconds max_stall_timeout{1000};
 
 }  // namespace
--- a/src/decide/response_progress.hpp
+++ b/src/decide/response_progress.hpp
@@ -10,12 +10,12 @@
 namespace boragehill::decide {
 
 /// Tracks the progress of a router's responses from one backend server and
-/// tells when they have stalled for longer than usual.
+/// detects when they have stalled for longer than usual.
 ///
 /// If a server's machine freezes for seconds, no connection fails. Without
-/// this check the router kept sending to it for as long as the platform listed
-/// it, each caller ran into its timeout, and the resumed server ran the
-/// requests for nobody.
+/// this check the router sent requests to it for as long as the platform listed
+/// it, their callers timed out, and the server ran the abandoned requests after
+/// it had resumed.
 ///
 /// One response without data is no stall while others progress. Once responses
 /// have started, only the gap between any two pieces of data counts, because a
@@ -58,8 +58,8 @@
   ///     than is usual for this server.
   bool is_stalled(time_point now) const;
 
-  /// \return Time of the last data from the server, whatever the router or a
-  ///     caller did since.
+  /// \return Time of the last data from the server, regardless of later pauses
+  ///     of the router or of a caller.
   time_point last_data_time() const { return this->last_data; }
 
   /// \return Start of the current wait for data: the last data, or the time
--- a/src/decide/response_size.hpp
+++ b/src/decide/response_size.hpp
@@ -13,9 +13,9 @@
 
   bool operator==(const response_size&) const = default;
 
-  /// \return A size that the response is unlikely to exceed, for decisions
-  ///     where it must not be cut off: a multiple of the hint, which is
-  ///     accurate only at the median, up to the maximum.
+  /// \return A size in tokens that the response is unlikely to exceed, for
+  ///     decisions where it must not be cut off: a multiple of the hint, which
+  ///     is accurate only at the median, up to the maximum.
   int safe_tokens() const {
     constexpr int hint_margin = 6;
     if (!this->hint || *this->hint >= this->max_tokens / hint_margin) {
--- a/src/decide/server_candidate.hpp
+++ b/src/decide/server_candidate.hpp
@@ -15,7 +15,8 @@
   int slots = 1;
   /// The server is in the router's failure domain.
   bool local = false;
-  /// The server failed recently; it is used only if no other has capacity.
+  /// The server failed recently or interrupted this request; it is used only if
+  /// no other has capacity.
   bool suspected = false;
 
   bool operator==(const server_candidate&) const = default;
--- a/src/decide/server_choice.hpp
+++ b/src/decide/server_choice.hpp
@@ -22,10 +22,10 @@
 ///     a little.
 /// \param max_backlog_tokens Limit of this router's prompt backlog at a server,
 ///     see `prompt_backlog_limits`. It is lower for requests whose latency
-///     objective has passed, so that they don't make others late: when a model
-///     restarted with a hundred requests waiting, their prompts kept the worker
-///     busy for 2 s, in which new requests became late, too, and streams
-///     paused until their callers gave up.
+///     objective has passed, so that they don't make others late: after a model
+///     was restarted with a hundred requests waiting, their prompts kept the
+///     worker busy for 2 s; new requests became late, too, and streams paused
+///     until their callers gave up.
 /// \param random Random bits that break ties, so that routers with the same
 ///     view don't all choose the same server.
 /// \return Index of the candidate; nothing if all are full.
--- a/src/decide/shutdown_gate.hpp
+++ b/src/decide/shutdown_gate.hpp
@@ -11,14 +11,14 @@
 /// shutdown.
 ///
 /// The load balancer needs some seconds to direct callers to other routers;
-/// requests until then are served. A later one is served only if it surely ends
-/// before the process does. A longer one would be cut off, while a caller that
-/// is rejected at once soon reaches another router.
+/// requests until then are served. A later one is served only if it is certain
+/// to end before the process does. A longer one would be cut off, while a
+/// caller that is rejected at once soon reaches another router.
 ///
 /// Not all later requests are rejected: if all routers shut down in quick
-/// succession, a rejected caller reaches only others that shut down. Time spent
-/// waiting for a server counts, so the decision is repeated until the request
-/// is sent.
+/// succession, a rejected caller reaches only others that are shutting down.
+/// Time spent waiting for a server counts, so the decision is repeated until
+/// the request is sent.
 class shutdown_gate {
  public:
   /// Time until the load balancer stops sending callers here. It checks the
--- a/src/decide/stall_detector.cpp
+++ b/src/decide/stall_detector.cpp
@@ -43,11 +43,11 @@
   return this->suspected_since && now - *this->suspected_since >= probe_timeout;
 }
 
-bool stall_detector::on_probe_ended(bool answered, time_point now) {
+bool stall_detector::on_probe_ended(bool responded, time_point now) {
   this->probe_in_flight = false;
   this->next_probe = now + probe_interval;
-  this->probe_failed = !answered && this->suspected_since;
-  if (!answered || !this->suspected_since) return false;
+  this->probe_failed = !responded && this->suspected_since;
+  if (!responded || !this->suspected_since) return false;
   ++this->probes_without_progress;
   this->trusted_until = now + grace_period;
   this->clear_suspicion();
--- a/src/decide/stall_detector.hpp
+++ b/src/decide/stall_detector.hpp
@@ -12,9 +12,9 @@
 /// Suspects a backend server whose responses have stalled, until it sends data
 /// again or responds to a probe.
 ///
-/// A suspected server gets no new requests, so when it resumes it runs at most
-/// the requests of the last tenths of a second for nobody. The suspicion is
-/// checked by a probe to the server: a false one, of a worker that processes a
+/// A suspected server gets no new requests, so when it resumes it runs only the
+/// abandoned requests of the last tenths of a second before the suspicion. The
+/// suspicion is checked by a probe: a false one, of a worker that processes a
 /// long prompt, is cleared by the probe's response within milliseconds.
 class stall_detector {
  public:
@@ -47,9 +47,9 @@
   void on_probe_sent() { this->probe_in_flight = true; }
 
   /// Records the result of a probe.
-  /// \param answered True for a response with any status; false for a timeout.
+  /// \param responded True for a response with any status; false for a timeout.
   /// \return True if this cleared a suspicion.
-  bool on_probe_ended(bool answered, time_point now);
+  bool on_probe_ended(bool responded, time_point now);
 
   /// Excludes a pause of the router itself: data that the server sent meanwhile
   /// may not have been read yet.
--- a/src/decide/wait_limit.cpp
+++ b/src/decide/wait_limit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Timeouts of a platform's callers: the minimum, and the multiples of the
+/// Timeouts of the platform's callers: the minimum, and the multiples of the
 /// latency objectives.
 constexpr milliseconds min_caller_timeout{2000};
 constexpr int tolerated_objectives = 4;
--- a/src/decide/wait_limit.hpp
+++ b/src/decide/wait_limit.hpp
@@ -14,7 +14,9 @@
 ///
 /// Callers of streams give up after two seconds without an event, four times
 /// the first-event objective or eight times the objective between events,
-/// whichever is longest; other callers wait until their deadline.
+/// whichever is longest, but at their deadline at the latest; other callers
+/// wait until their deadline.
+/// \return Time since the start of the wait.
 milliseconds caller_timeout(const wait_state& request);
 
 /// Decides whether a waiting request should be rejected now.
--- a/src/decide/worker_orders.cpp
+++ b/src/decide/worker_orders.cpp
@@ -38,8 +38,8 @@
   this->loading_model.clear();
   this->loaded_sequence = 0;
   this->not_before = now;
-  if (this->unanswered_order) {
-    this->remember_unanswered(*this->unanswered_order, now);
+  if (this->sent_order) {
+    this->remember_unconfirmed(*this->sent_order, now);
   }
   std::erase_if(this->orphaned_orders,
                 [now](const auto& delayed) { return delayed.until <= now; });
@@ -48,8 +48,8 @@
   this->unconfirmed_orders.clear();
 }
 
-void worker_orders::remember_unanswered(const fleet::worker_order& order,
-                                        time_point now) {
+void worker_orders::remember_unconfirmed(const fleet::worker_order& order,
+                                         time_point now) {
   std::erase_if(this->unconfirmed_orders,
                 [now](const auto& delayed) { return delayed.until <= now; });
   if (order.what != fleet::worker_order::kind::load) return;
@@ -90,21 +90,20 @@
                                 this->target, this->available_capacity(now));
   if (!order) return std::nullopt;
   this->is_order_in_flight = true;
-  this->unanswered_order =
-      fleet::worker_order{.what = order->what,
-                          .model = order->model,
-                          .adapter = order->adapter,
-                          .server = this->server,
-                          .expected = this->report->sequence,
-                          .holder = this->holder,
-                          .fence = this->fence};
-  return this->unanswered_order;
+  this->sent_order = fleet::worker_order{.what = order->what,
+                                         .model = order->model,
+                                         .adapter = order->adapter,
+                                         .server = this->server,
+                                         .expected = this->report->sequence,
+                                         .holder = this->holder,
+                                         .fence = this->fence};
+  return this->sent_order;
 }
 
 void worker_orders::on_response(const fleet::worker_order& order,
                                 fleet::order_answer response, time_point now) {
   this->is_order_in_flight = false;
-  this->unanswered_order.reset();
+  this->sent_order.reset();
   const bool is_model_load =
       order.what == fleet::worker_order::kind::load && order.adapter.empty();
   switch (response) {
@@ -116,14 +115,14 @@
       this->loaded_sequence = order.expected + 1;
       return;
     case fleet::order_answer::unknown:
-      this->remember_unanswered(order, now);
+      this->remember_unconfirmed(order, now);
       this->report.reset();
       this->not_before = now + unknown_response_delay;
       return;
     case fleet::order_answer::conflict:
     case fleet::order_answer::refused:
       this->report.reset();
-      this->not_before = now + refusal_delay;
+      this->not_before = now + rejection_delay;
       return;
   }
 }
--- a/src/decide/worker_orders.hpp
+++ b/src/decide/worker_orders.hpp
@@ -30,7 +30,7 @@
   static constexpr milliseconds unknown_response_delay{60};
   /// Delay after a rejected order, until the view that it was based on has been
   /// corrected.
-  static constexpr milliseconds refusal_delay{100};
+  static constexpr milliseconds rejection_delay{100};
   /// Time after which an order without a response is no longer executed. Orders
   /// were seen executed up to 12 s late.
   static constexpr milliseconds max_order_delay{13000};
@@ -76,7 +76,7 @@
   };
 
   void on_new_incarnation(time_point now);
-  void remember_unanswered(const fleet::worker_order& order, time_point now);
+  void remember_unconfirmed(const fleet::worker_order& order, time_point now);
   fleet::service available_capacity(time_point now) const;
 
   std::string holder;
@@ -91,7 +91,7 @@
   std::int64_t known_incarnation = 0;
   std::int64_t known_sequence = 0;
   /// The last order sent, until its response.
-  std::optional<fleet::worker_order> unanswered_order;
+  std::optional<fleet::worker_order> sent_order;
   /// Orders without a response: of the worker's current incarnation, and of
   /// earlier ones.
   std::vector<delayed_order> unconfirmed_orders;
--- a/test/decide-test/hedge_schedule_test.cpp
+++ b/test/decide-test/hedge_schedule_test.cpp
@@ -10,8 +10,8 @@
 constexpr milliseconds hold_time{1000};
 const time_point begin{std::chrono::seconds(100)};
 
-/// A store that never answers the requests that arrive or are held during a
-/// stall, and answers all others after its latency; polled without end.
+/// A store that never responds to requests that arrive or are held during a
+/// stall, and responds to all others after its latency; polled continuously.
 class stalling_store {
  public:
   stalling_store(milliseconds stall_begin, milliseconds stall_end,
@@ -39,8 +39,8 @@
   /// \return When an attempt gets its response; nothing if it never does.
   std::optional<time_point> response_to_attempt(
       time_point sent, milliseconds request_hold_time) const {
-    // The store answers a poll at once if it has an update, as it has after the
-    // stall, and otherwise at the end of the hold time.
+    // The store responds to a poll at once if it has an update, as it has after
+    // the stall, and otherwise at the end of the hold time.
     const bool overlaps =
         sent < this->stall_end && sent + request_hold_time >= this->stall_begin;
     if (this->is_stalled(sent) || overlaps) return std::nullopt;
@@ -69,7 +69,7 @@
 TEST(hedge_schedule_test,
      notices_the_recovery_of_the_store_in_time_at_any_phase) {
   // A store stalls for some time, and a change is confirmed when it recovers.
-  // The change has to be known two seconds later, whenever the lost poll was
+  // The poller must receive it within two seconds, whenever the lost poll was
   // sent; with one attempt at a time it took up to 3.7 s.
   for (int from = 0; from < 1100; from += 50) {
     for (int length = 10; length < 7000; length += 130) {
--- a/test/decide-test/prompt_backlog_limits_test.cpp
+++ b/test/decide-test/prompt_backlog_limits_test.cpp
@@ -57,7 +57,8 @@
 
 TEST(prompt_backlog_limits_test, sends_nothing_behind_a_long_prompt) {
   // A worker processes a long prompt for half a second. Requests that its
-  // router sends meanwhile can't start before, nor move to another worker.
+  // router sends meanwhile can't start before its end, nor move to another
+  // worker.
   stalled_worker worker(4);
   EXPECT_TRUE(worker.send(0, long_prompt));
   EXPECT_FALSE(worker.send(0, short_prompt));
--- a/test/decide-test/response_time_estimate_test.cpp
+++ b/test/decide-test/response_time_estimate_test.cpp
@@ -27,8 +27,8 @@
 }
 
 TEST(response_time_estimate_test, never_estimates_less_than_the_default) {
-  // Guards against an estimate from a few short responses, which say nothing
-  // about long ones.
+  // Guards against an estimate from a few responses that end far below their
+  // maximum length, which say nothing about long ones, or from plain calls.
   response_time_estimate estimate;
   estimate.on_response(300, milliseconds(10), begin);
   estimate.on_response(0, seconds(60), begin);
@@ -36,7 +36,7 @@
 }
 
 TEST(response_time_estimate_test,
-     a_stalled_short_response_raises_the_estimate_little) {
+     a_stalled_short_response_raises_the_estimate_only_slightly) {
   // Guards against rejecting all callers because of one stalled response of one
   // token.
   response_time_estimate estimate;
--- a/test/decide-test/shutdown_gate_test.cpp
+++ b/test/decide-test/shutdown_gate_test.cpp
@@ -26,10 +26,9 @@
   EXPECT_TRUE(gate.rejects(long_response, begin + std::chrono::seconds(3)));
 }
 
-TEST(shutdown_gate_test, serves_requests_that_surely_end_in_time) {
-  // During a quick succession of router shutdowns all of them shut down at the
-  // same time for some seconds: a rejected caller reaches only other routers
-  // that reject it.
+TEST(shutdown_gate_test, serves_requests_that_are_certain_to_end_in_time) {
+  // If routers are shut down in quick succession, all of them are shutting down
+  // for some seconds: a rejected caller reaches only others that reject it.
   shutdown_gate gate;
   gate.begin_shutdown(begin, begin + std::chrono::seconds(8));
   EXPECT_FALSE(gate.rejects(short_response, begin + std::chrono::seconds(5)));
--- a/test/decide-test/stall_detector_test.cpp
+++ b/test/decide-test/stall_detector_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_EQ(server.update(), transition::none);
 }
 
-TEST(stall_detector_test, a_pause_of_the_router_clears_no_suspicion) {
+TEST(stall_detector_test, a_pause_of_the_router_does_not_clear_a_suspicion) {
   // A worker's machine stalls and is suspected; then the router is paused, too.
   // When it resumed, it took the end of its own pause for data from the worker
   // and sent further requests to a machine that was still stalled.
@@ -119,7 +119,7 @@
   EXPECT_TRUE(server.detector.is_suspected());
 }
 
-TEST(stall_detector_test, a_resumed_read_clears_no_suspicion) {
+TEST(stall_detector_test, a_resumed_read_does_not_clear_a_suspicion) {
   // A slow caller reads more of its response while the worker is stalled; this
   // shows nothing about the worker.
   simulated_server server;
@@ -163,7 +163,7 @@
   EXPECT_EQ(server.update(), transition::none);
 }
 
-TEST(stall_detector_test, a_failed_probe_is_repeated) {
+TEST(stall_detector_test, a_failed_probe_is_retried) {
   simulated_server server;
   server.start_streams(2);
   server.advance(500);
@@ -223,7 +223,8 @@
   EXPECT_TRUE(server.detector.is_probe_due(server.now));
 }
 
-TEST(stall_detector_test, a_server_that_answers_only_probes_is_rarely_used) {
+TEST(stall_detector_test,
+     a_server_that_responds_only_to_probes_is_rarely_used) {
   // A worker's status check succeeds but no request gets a response. Guards
   // against each successful probe putting it back into use for some time.
   simulated_server server;
--- a/test/decide-test/wait_limit_test.cpp
+++ b/test/decide-test/wait_limit_test.cpp
@@ -11,7 +11,7 @@
                       .first_event_objective = milliseconds(500),
                       .gap_objective = milliseconds(250)};
 
-TEST(wait_limit_test, rejects_at_once_if_loading_outlasts_the_caller) {
+TEST(wait_limit_test, rejects_at_once_if_loading_outlasts_the_caller_timeout) {
   // Demand moves to a model that is not loaded: loading takes six seconds, and
   // callers give up after two. If their requests are held, all of them fail.
   auto request = chat;
--- a/test/decide-test/worker_orders_test.cpp
+++ b/test/decide-test/worker_orders_test.cpp
@@ -37,7 +37,7 @@
   return orders;
 }
 
-TEST(next_order_test, unloads_a_model_before_a_load_that_does_not_fit) {
+TEST(worker_orders_test, unloads_a_model_before_a_load_that_does_not_fit) {
   const residency_target target{.models = {"a", "b", "d"}};
   const auto first = next_order(report_with({"a", "b", "c"}, 0), {}, target,
                                 service_for_three_models());
@@ -47,7 +47,7 @@
   EXPECT_EQ(second, (target_order{.what = kind::load, .model = "d"}));
 }
 
-TEST(next_order_test, orders_nothing_beyond_memory_whatever_the_target) {
+TEST(worker_orders_test, orders_nothing_beyond_memory_whatever_the_target) {
   // A planner with an outdated view wants four models where three fit. A worker
   // that is ordered to load more than it can hold crashes, and all its requests
   // are lost.
@@ -57,7 +57,7 @@
             std::nullopt);
 }
 
-TEST(next_order_test, orders_nothing_while_a_model_is_loading) {
+TEST(worker_orders_test, orders_nothing_while_a_model_is_loading) {
   // The report names a model only once it is loaded: an adapter ordered
   // meanwhile would take its memory, and the worker would reject it anyway.
   auto report = report_with({"a", "b"}, 0);
@@ -72,7 +72,7 @@
             (target_order{.what = kind::load, .model = "a", .adapter = "x"}));
 }
 
-TEST(next_order_test, respects_the_adapter_slots) {
+TEST(worker_orders_test, respects_the_adapter_slots) {
   auto report = report_with({"a"}, 0);
   report.models[0].adapters = {"x"};
   report.coming = {"a/y"};
@@ -86,7 +86,7 @@
             (target_order{.what = kind::unload, .model = "a", .adapter = "w"}));
 }
 
-TEST(next_order_test, loads_no_model_of_unknown_size) {
+TEST(worker_orders_test, loads_no_model_of_unknown_size) {
   const residency_target target{.models = {"new"}};
   EXPECT_EQ(
       next_order(report_with({}, 0), {}, target, service_for_three_models()),
