--- a/test/decide-test/residency_property_test.cpp
+++ b/test/decide-test/residency_property_test.cpp
@@ -71,8 +71,7 @@
   memory_ledger memory{100};
 };
 
-TEST_F(residency_property_test,
-       every_checker_fails_without_checks_in_the_agent) {
+TEST(residency_checker_test, every_checker_fails_without_checks_in_the_agent) {
   residency_simulation<unchecked_residency> simulation(
       1, max_order_delivery,
       [](time_point) { return std::make_unique<unchecked_residency>(); });
@@ -85,8 +84,8 @@
 // An agent restarts while a load of its earlier process is in transit, and does
 // not wait for the maximum delivery time. The old load then arrives on top of
 // its own loads and overcommits the memory, which the checker must detect.
-TEST_F(residency_property_test,
-       memory_checker_fails_when_old_orders_are_not_awaited) {
+TEST(residency_checker_test,
+     memory_checker_fails_when_old_orders_are_not_awaited) {
   bool is_detected = false;
   for (std::uint32_t seed = 1; seed <= 100 && !is_detected; ++seed) {
     is_detected = !run_simulation(seed, milliseconds(0)).memory;
